--- a/cottonhold/store/__init__.py
+++ b/cottonhold/store/__init__.py
@@ -1,1 +1,1 @@
-"""What must survive a restart: records and their versions (pure), kept in SQLite behind one small rim."""
+"""Persistent records: their formats (pure), and the ledger that stores them in SQLite."""
--- a/cottonhold/store/files.py
+++ b/cottonhold/store/files.py
@@ -1,8 +1,8 @@
-"""Operations on whole files, in addition to SQLite's own, so that tests can cut and fail these writes too.
+"""Operations on whole files outside SQLite, which tests can make fail or interrupt like those of a VFS.
 
-`Files` is the operating system's. Its primitives are single system operations; `replace`, `extend` and
-`rename` combine them in the one order that survives a power loss. A test double replaces the primitives
-only, so that the order itself is under test. Each SQLite VFS may have its own `Files`.
+`Files` uses the operating system. Its primitives are single system operations; `replace`, `extend` and
+`rename` combine them in the only order that is safe against a power loss. A test double replaces only the
+primitives, so that tests cover this order. Each SQLite VFS may have its own `Files`.
 """
 
 from __future__ import annotations
@@ -12,42 +12,42 @@
 
 
 class Files:
-    """What the ledger does with whole files. All methods raise OSError."""
+    """The ledger's operations on whole files. All methods raise OSError on failure."""
 
     def read(self, path: Path) -> bytes | None:
-        """The whole content; None where there is no file."""
+        """Return the whole content; None if the file doesn't exist."""
         try:
             return path.read_bytes()
         except FileNotFoundError:
             return None
 
     def size(self, path: Path) -> int:
-        """The size in bytes; 0 where there is no file."""
+        """Return the size in bytes; 0 if the file doesn't exist."""
         return path.stat().st_size if path.exists() else 0
 
     def names(self, folder: Path) -> list[str]:
-        """All names in a folder, sorted."""
+        """Return the names of all files in a folder, sorted."""
         return sorted(os.listdir(folder))
 
     def append(self, path: Path, content: bytes, *, truncate: bool = False) -> None:
-        """Write at the file's end, or to an emptied file; durable only after `sync`."""
+        """Append to a file, or replace its content if `truncate`; durable only after `sync`."""
         with open(path, "wb" if truncate else "ab") as file:
             file.write(content)
 
     def sync(self, path: Path) -> None:
-        """The file's content is durable when this returns."""
+        """Make a file's content durable."""
         self._sync(path, os.O_RDWR)
 
     def move(self, old: Path, new: Path) -> None:
-        """Old or new name at every moment; durable only after `sync_folder`."""
+        """Rename a file atomically, replacing any file of the new name; durable only after `sync_folder`."""
         os.replace(old, new)
 
     def remove(self, path: Path) -> None:
-        """Remove a file if there is one; durable only after `sync_folder`."""
+        """Remove a file if it exists; durable only after `sync_folder`."""
         path.unlink(missing_ok=True)
 
     def sync_folder(self, folder: Path) -> None:
-        """Names made, moved and removed in the folder are durable when this returns."""
+        """Make created, renamed and removed files in the folder durable."""
         self._sync(folder, os.O_RDONLY)
 
     def _sync(self, path: Path, flags: int) -> None:
@@ -58,19 +58,19 @@
             os.close(descriptor)
 
     def replace(self, path: Path, content: bytes) -> None:
-        """Replace a file's content; durable on return, and the old or the new one at every moment before."""
+        """Replace a file's content atomically; durable on return."""
         new = path.with_name(path.name + ".new")
         self.append(new, content, truncate=True)
-        # A name that is moved before its content is durable is an empty file after a power loss.
+        # If the file were renamed before its content is durable, it could be empty after a power loss.
         self.sync(new)
         self.move(new, path)
         self.sync_folder(path.parent)
 
     def extend(self, path: Path, size: int) -> None:
-        """Fill a file up with zeros to `size` bytes; durable on return.
+        """Extend a file with zeros to `size` bytes; durable on return.
 
-        Written and not only reserved by fallocate: else each first write there would cost one to the file
-        system's journal as well.
+        The zeros are written instead of allocated by fallocate, which would add a write to the file system's
+        journal to each first write of a block.
         """
         self.append(path, bytes(max(0, size - self.size(path))))
         self.sync(path)
@@ -86,10 +86,10 @@
 
 
 def register_files(vfs: str, files: Files) -> None:
-    """Have ledgers on this VFS read and write whole files by these."""
+    """Set the `Files` that ledgers on a VFS use."""
     _FILES_BY_VFS[vfs] = files
 
 
 def files_of(vfs: str) -> Files:
-    """The files of a VFS; the operating system's if none are registered."""
+    """Return the `Files` registered for a VFS; the operating system's by default."""
     return _FILES_BY_VFS.get(vfs) or Files()
--- a/cottonhold/store/health.py
+++ b/cottonhold/store/health.py
@@ -1,4 +1,4 @@
-"""The states of a ledger's disk and content, and the errors of opening one."""
+"""The states of a ledger's disk and content, and the errors raised when it is opened."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Completeness(Enum):
-    """Whether a ledger's content can be relied on to be complete."""
+    """Whether a ledger's content is known to be complete."""
 
-    UNKNOWN = "empty"  # what isn't in it may still have been: it is not known to be "never"
+    UNKNOWN = "empty"  # records may have been lost, so a missing load may still have been sent
     COMPLETE = "kept"
 
 
 class DiskState(Enum):
-    """The disk's state. Writes are accepted while it is HEALTHY and refused at once in all other states."""
+    """The state of the disk. Writes are rejected immediately unless it is HEALTHY."""
 
     HEALTHY = "well"
     STALLED = "stalled"
@@ -26,16 +26,17 @@
 
 @dataclass(slots=True, frozen=True)
 class DiskHealth:
-    """The state of the disk, and the reason for it."""
+    """The state of the disk; the reason is empty if it is HEALTHY."""
 
     state: DiskState
     reason: str
 
 
 class StoreError(Exception):
-    """No ledger can be written in this folder now: its disk fails or is full.
+    """The ledger can't be opened for writing at present, since the disk fails or is full.
 
-    What could be read nevertheless is in `records`, by kind and key; the boot isn't counted.
+    `records` contains the records that could be read nevertheless, by kind and key. The boot count isn't
+    durable.
     """
 
     completeness: Completeness
@@ -49,4 +50,4 @@
 
 
 class StoreBusyError(StoreError):
-    """Another running process has this folder."""
+    """Another running process uses the folder."""
--- a/cottonhold/store/ledger.py
+++ b/cottonhold/store/ledger.py
@@ -1,12 +1,12 @@
 """The ledger of one instance: records that are durable before they are reported as written.
 
-Reads are from memory as of opening. One thread writes: all queued records go into one transaction with a full
-sync and are reported after it. The folder's content never keeps an instance from starting: a damaged file is
-set aside, and the content counts as incomplete, which means unknown.
+Reads return the records as they were when the ledger was opened. One thread writes: it commits queued records
+in one transaction with a full sync, and then reports them as written. The folder's content never prevents an
+instance from starting: a damaged file is set aside, and the completeness of the content is then unknown.
 
-After a failed sync that file is not used again: the kernel may have dropped the pages and report success the
-next time, and a read shows the cache and not the disk. All records are written anew, from memory, to a file
-of the next generation (see `ledger_folder`).
+After a failed sync the file isn't used any more: the kernel may have dropped the pages and report success for
+the next sync, and a read would return the cache and not the disk's content. Instead, all records are written
+from memory to a file of the next generation (see `ledger_folder`).
 """
 
 from __future__ import annotations
@@ -27,19 +27,23 @@
 from cottonhold.store.record_file import FileSizes, RecordFile, RecordFileError
 from cottonhold.store.records import Record, RecordKind
 
-# The VFS a ledger opens by when none is given: the fault-injection harness sets one whose disk fails.
+# The VFS of ledgers that are opened without one. Fault-injection tests set one that simulates disk failures.
 DEFAULT_VFS = ""
-MAX_BACKOFF_FACTOR = 16.0  # between recoveries, in retry intervals
+MAX_BACKOFF_FACTOR = 16.0  # longest time between recovery attempts, as a multiple of the retry interval
 OnWritten = Callable[[bool], None]  # called with whether the records are durable
 
 
 @dataclass(slots=True, frozen=True)
 class LedgerSettings:
-    """Limits of a ledger.
-
-    stall_timeout_ms: how long a write may wait before new ones are refused.
-    retry_interval_ms: between attempts on a full or failed disk.
-    max_group_records: in one transaction.
+    """Settings of a ledger.
+
+    Attributes:
+        stall_timeout_ms: Time that a write may take before new ones are rejected, in ms.
+        retry_interval_ms: Time between attempts to write to a full or failed disk again, in ms.
+        max_queued_records: Number of queued records from which on new writes are rejected.
+        max_group_records: Number of records that are committed in one transaction; a larger single write is
+            still committed.
+        file_sizes: The sizes of record files.
     """
 
     stall_timeout_ms: float = 1000.0
@@ -61,7 +65,7 @@
 
 
 class Ledger:
-    """A ledger, made by `open`. All public methods may be called from any thread."""
+    """An open ledger; call `open` to create one. All public methods may be called from any thread."""
 
     def __init__(self, folder: LedgerFolder, settings: LedgerSettings, clock: Callable[[], float]) -> None:
         self.folder, self.settings, self.clock = folder, settings, clock
@@ -85,9 +89,18 @@
         settings: LedgerSettings | None = None,
         clock: Callable[[], float] = _monotonic_ms,
     ) -> Ledger:
-        """Open a folder's ledger, or create one; the boot is counted and durable on return.
-
-        Raises StoreBusyError if another process has the folder, StoreError if the disk fails.
+        """Open the ledger in a folder, or create one; the new boot count is durable on return.
+
+        Args:
+            path: The folder.
+            name: The name of the instance, with which all file names begin.
+            vfs: The SQLite VFS; empty for `DEFAULT_VFS`.
+            settings: The settings; None for the defaults.
+            clock: Returns the time in ms on a monotonic clock.
+
+        Raises:
+            StoreBusyError: Another process uses the folder.
+            StoreError: The disk fails or is full.
         """
         vfs, settings = vfs or DEFAULT_VFS, settings or LedgerSettings()
         folder = LedgerFolder(path, name, vfs, files_of(vfs), settings.file_sizes)
@@ -105,15 +118,17 @@
         return ledger
 
     def records(self, kind: RecordKind) -> dict[bytes, bytes]:
-        """The values of a kind by their keys, as of opening."""
+        """Return the values of a kind by their keys, as they were when the ledger was opened."""
         return dict(self.folder.records.get(kind, {}))
 
     def put(self, records: Sequence[Record], on_written: OnWritten | None = None) -> None:
-        """Queue records for one transaction.
+        """Queue records to be written in one transaction.
 
-        on_written(True) is called in the writer's thread once they are durable. on_written(False) means that
-        they were not accepted or are not known to be durable; it is called at once in the caller's thread
-        when the disk isn't healthy or the queue is full.
+        Args:
+            records: The records.
+            on_written: Called with True in the writer's thread once the records are durable, or with False if
+                they were rejected or may not be durable. If the disk isn't healthy or the queue is full, it
+                is called with False in the caller's thread before this method returns.
         """
         with self._lock:
             is_healthy = self._health(self.clock()).state is DiskState.HEALTHY and not self._is_closing
@@ -126,20 +141,20 @@
             on_written(False)
 
     def raise_boot_count(self, minimum: int, on_written: OnWritten | None = None) -> None:
-        """Make the boot count at least `minimum`, as others know of a later boot than this folder does."""
+        """Raise the boot count to at least `minimum`, after other instances reported a later boot."""
         with self._lock:
             self.boot_count = max(self.boot_count, minimum)
         self.put([], on_written)
 
     def mark_complete(self, on_written: OnWritten | None = None) -> None:
-        """Record that earlier content can't matter any more, since a whole retention time has passed.
+        """Mark the content as complete, after a whole retention time in which lost records have expired.
 
-        Until then each opening reports the content as UNKNOWN again, along with the records it has.
+        Until then, each opening reports the completeness as UNKNOWN, together with the records that exist.
         """
         self.put([COMPLETE_MARK], on_written)
 
     def health(self, now_ms: float) -> DiskHealth:
-        """The state of the disk. now_ms: on the ledger's own monotonic clock."""
+        """Return the state of the disk. now_ms: the time on the ledger's monotonic clock."""
         with self._lock:
             return self._health(now_ms)
 
@@ -157,9 +172,13 @@
         return DiskHealth(DiskState.HEALTHY, "")
 
     def close(self, clean: bool) -> None:
-        """Write what is queued and end. clean: record a clean close for the next boot, if all became durable.
+        """Write the queued records, and close the ledger.
 
-        On a disk that stalls the folder stays locked until the end of the process.
+        On a stalled disk this returns after `stall_timeout_ms`, and the folder remains locked until the
+        process ends.
+
+        Args:
+            clean: Whether to record a clean close for the next boot, if all records became durable.
         """
         with self._lock:
             self._is_closing, self._closes_cleanly = True, clean
@@ -169,7 +188,7 @@
             self.folder.close()
 
     def _run(self) -> None:
-        """The writer's thread."""
+        """Write queued records and recover from failures until the ledger is closed; the writer's thread."""
         while True:
             with self._lock:
                 if not self._queue and not self._is_closing:
@@ -186,7 +205,7 @@
                 self._recover(state)
 
     def _next_group(self) -> list[_Write]:
-        """The oldest writes, as many as fit one transaction and at least one."""
+        """Remove and return the oldest writes: as many as fit into one transaction, and at least one."""
         group: list[_Write] = []
         size = 0
         while self._queue:
@@ -206,7 +225,7 @@
                 write.on_written(is_durable)
 
     def _commit(self, group: list[_Write]) -> bool:
-        """Write one transaction; true once its sync has succeeded."""
+        """Write one transaction; return whether its sync succeeded."""
         record_file = self.folder.record_file
         if record_file is None:
             return False
@@ -220,7 +239,7 @@
         return True
 
     def _checkpoint(self, record_file: RecordFile) -> None:
-        # What was committed is durable in the log, whether this succeeds or not.
+        # Committed records are durable in the log, even if the checkpoint fails.
         try:
             record_file.checkpoint()
         except (apsw.Error, OSError) as error:
@@ -233,7 +252,7 @@
     def _set_state(self, state: DiskState, reason: str) -> None:
         with self._lock:
             if state is DiskState.FAILED and self._state is DiskState.FAILED:
-                # Each recovery writes all records anew, which is more work for a disk that fails already.
+                # Each recovery rewrites all records, which is additional work for a disk that already fails.
                 max_interval_ms = self.settings.retry_interval_ms * MAX_BACKOFF_FACTOR
                 self._retry_interval_ms = min(self._retry_interval_ms * 2.0, max_interval_ms)
             else:
@@ -241,10 +260,10 @@
             self._state, self._state_reason = state, reason
 
     def _recover(self, state: DiskState) -> None:
-        """Try whether a full or failed disk can be written again."""
+        """Try to write to a full or failed disk again."""
         try:
             if state is DiskState.FULL and self.folder.record_file is not None:
-                # The checkpoint comes first, so that repeated commits don't fill the log.
+                # The checkpoint comes first; otherwise repeated commits would fill the log.
                 self.folder.record_file.checkpoint()
                 self.folder.record_file.commit([], self.boot_count)
             else:
@@ -258,11 +277,9 @@
             self._set_state(DiskState.HEALTHY, "")
 
     def _finish(self) -> None:
-        """Record the clean close, in the writer's thread: a disk that hangs must not keep the process from
-        ending.
-        """
+        """Record a clean close, in the writer's thread, so that a hanging disk doesn't delay the exit."""
         if not self._closes_cleanly or self._state is not DiskState.HEALTHY:
             return
-        # If it fails, the next boot takes this one for cut off, which is safe.
+        # If it fails, the next boot assumes that this one was interrupted, which is safe.
         with contextlib.suppress(OSError, apsw.Error):
             self.folder.record_clean_close(self.boot_count)
--- a/cottonhold/store/ledger_folder.py
+++ b/cottonhold/store/ledger_folder.py
@@ -1,8 +1,9 @@
 """The folder of one ledger: its lock, its boot file, and record files by generation.
 
-The boot file names the generation of the record file that counts. A new generation is written whenever the
-present file can't be relied on: after an end that wasn't a clean close, and after a failed write. It
-counts once the boot file, replaced atomically, names it; then files of other generations are removed.
+The boot file names the generation of the current record file. A new generation is written when the current
+file isn't reliable: after a boot that didn't end with a clean close, and after a failed write. The new file
+becomes current when the boot file, which is replaced atomically, names it; then the files of other
+generations are removed.
 """
 
 from __future__ import annotations
@@ -23,33 +24,37 @@
 
 
 class LedgerFolder:
-    """A folder that one process holds at a time. Methods raise OSError, apsw.Error or RecordFileError."""
+    """A folder that one process uses at a time.
+
+    Methods raise OSError, apsw.Error or RecordFileError if the disk fails. After `open`, `completeness` and
+    `reason` describe the content that was found, and `records` contains it.
+    """
 
     def __init__(self, path: Path, name: str, vfs: str, files: Files, sizes: FileSizes) -> None:
         self.path, self.name, self.vfs, self.files, self.sizes = path, name, vfs, files, sizes
         self.boot_count, self.generation = 0, 0
         self.completeness, self.reason = Completeness.UNKNOWN, ""
-        self.closed_cleanly = False  # the boot before this one
-        self.damaged_files = 0
-        self.records: dict[RecordKind, dict[bytes, bytes]] = {}  # as of opening
+        self.closed_cleanly = False  # whether the previous boot was closed cleanly
+        self.damaged_files = 0  # number of files set aside by `open`
+        self.records: dict[RecordKind, dict[bytes, bytes]] = {}  # as they were when the folder was opened
         self.record_file: RecordFile | None = None
         self._lock_descriptor = -1
 
     def lock(self) -> None:
-        """Lock the folder for this process. Raises StoreBusyError if another running one has it."""
+        """Lock the folder for this process. Raises StoreBusyError if another process has locked it."""
         self.path.mkdir(parents=True, exist_ok=True)
         self._lock_descriptor = os.open(
             self.path / f"{self.name}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600
         )
         try:
-            # The kernel frees the lock with the open file, however the process ends.
+            # The kernel releases the lock when the file is closed, however the process ends.
             fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
             text = f"{self.path}: in use by another process"
             raise StoreBusyError(text, self.completeness, {}) from error
 
     def open(self) -> None:
-        """Read the present files, or create them; the boot is counted and durable on return."""
+        """Read the existing files, or create them; the new boot count is durable on return."""
         content = self.files.read(self._boot_path)
         boot_file = BootFile.decode(content)
         newest = max(self._generations(), default=0)
@@ -75,10 +80,10 @@
         self._remove_old_files()
 
     def rewrite(self, boot_count: int) -> None:
-        """Write all rows, as they are in memory, to a file of the next generation.
+        """Write all rows from memory to a file of the next generation.
 
-        After a failed sync neither the old file's pages nor a read of it prove anything, so nothing of that
-        file is used again.
+        After a failed sync the content of the old file on the disk is unknown, even if it can be read, so
+        none of it is used.
         """
         old = self.record_file
         if old is None:
@@ -89,7 +94,7 @@
         try:
             self.files.replace(self._boot_path, BootFile(boot_count, generation, NOT_CLOSED).encode())
         except BaseException:
-            # The new file stays: the boot file on the disk may name it already.
+            # Keep the new file: the boot file on the disk may already name it.
             new.close()
             raise
         self.record_file, self.generation = new, generation
@@ -97,7 +102,7 @@
         self._remove_old_files()
 
     def record_clean_close(self, boot_count: int) -> None:
-        """Make all of this boot durable, then record that in the boot file."""
+        """Checkpoint all transactions of this boot, then record the clean close in the boot file."""
         if self.record_file is not None:
             self.record_file.checkpoint()
             self._write_boot_file(boot_count, self.record_file.transaction_count)
@@ -126,10 +131,10 @@
         return RecordFile.create(path, self.vfs, self.files, self.sizes, rows, boot_count)
 
     def _read_record_file(self, boot_file: BootFile | None, has_boot_file: bool) -> RecordFile | None:
-        """The record file that counts, if it is intact; else None, with the reason."""
+        """Return the current record file if it is intact; otherwise set `reason` and return None."""
         path = self._record_path(self.generation)
         if self.files.read(path) is None:
-            self.reason = "its file is missing" if has_boot_file else "nothing was here"
+            self.reason = "the record file is missing" if has_boot_file else "there was no ledger"
             return None
         try:
             record_file = RecordFile.open(path, self.vfs, self.files, self.sizes)
@@ -144,41 +149,44 @@
         return record_file
 
     def _set_aside_damaged(self, path: Path) -> None:
-        """Rename a damaged file and its log, so that they can be inspected."""
+        """Rename a damaged file and its log, so that they are kept for inspection."""
         self.damaged_files += 1
         for damaged in (path, log_path(path)):
             if self.files.read(damaged) is not None:
                 self.files.rename(damaged, damaged.with_name(damaged.name + DAMAGED_SUFFIX))
 
     def _load_records(self, record_file: RecordFile) -> None:
-        """The rows of kinds that this version knows; rows of other kinds stay in the file only."""
+        """Load the rows of all known kinds; rows of kinds of a later version only remain in the file."""
         for (kind, key), value in record_file.rows.items():
             if kind in RecordKind.__members__.values():
                 self.records.setdefault(RecordKind(kind), {})[key] = value
         if self.records.get(RecordKind.INCARNATION, {}).pop(COMPLETE_MARK.key, None) is not None:
             self.completeness = Completeness.COMPLETE
         else:
-            self.reason = "emptied not long ago"
+            self.reason = "restarted empty less than one retention time ago"
 
     def _generations(self) -> list[int]:
-        """The generations of all record files here, of damaged ones too."""
+        """Return the generations of all record files in the folder, including damaged ones."""
         suffix = re.escape(DAMAGED_SUFFIX)
-        is_ours = re.compile(rf"{re.escape(self.name)}\.(\d+)\.db(-wal)?({suffix})?").fullmatch
-        return sorted({int(match[1]) for match in map(is_ours, self.files.names(self.path)) if match})
+        match_record_file = re.compile(rf"{re.escape(self.name)}\.(\d+)\.db(-wal)?({suffix})?").fullmatch
+        return sorted(
+            {int(match[1]) for match in map(match_record_file, self.files.names(self.path)) if match}
+        )
 
     def _make_generation_durable(self, boot_count: int) -> None:
-        """Make it durable that the present generation counts, and remove the files of all others.
+        """Make the current generation durable in the boot file, and remove the files of all others.
 
-        After a failed replacement of the boot file there are several record files, and any of them may be the
-        one that counts on the disk. Without this each further attempt would leave one more file, until the
-        disk is full. The boot file is made durable first, as the file that counts could be removed otherwise.
+        After a failed replacement of the boot file there are several record files, and the boot file on the
+        disk may name any of them. Without this method each further attempt would leave another file, until
+        the disk is full. The boot file is made durable before files are removed, since the file that it names
+        could be among them otherwise.
         """
         if self._generations() not in ([], [self.generation]):
             self._write_boot_file(boot_count)
             self._remove_old_files()
 
     def _remove_old_files(self) -> None:
-        """Remove files of other generations; of damaged ones the newest stays."""
+        """Remove the files of other generations, and all damaged files but the newest."""
         names = self.files.names(self.path)
         generations = self._generations()
         damaged = [g for g in generations if self._record_path(g).name + DAMAGED_SUFFIX in names]
@@ -192,9 +200,9 @@
 
 
 def _was_closed_cleanly(boot_file: BootFile | None) -> bool:
-    """Whether the last boot was closed with all of it durable.
+    """Whether the last boot was closed with all its transactions durable.
 
-    After any other end, what is read may be in the kernel's cache only, and never reach the disk if a sync of
-    the last boot had failed; what is appended to the log after it would be lost with it.
+    After any other end, the content that is read may be in the kernel's cache only. If a sync of the last
+    boot had failed, it may never reach the disk, and all that is appended to the log would be lost with it.
     """
     return boot_file is not None and boot_file.transactions_at_close > NOT_CLOSED
--- a/cottonhold/store/record_file.py
+++ b/cottonhold/store/record_file.py
@@ -1,10 +1,9 @@
-"""One SQLite file with all records, and the proof that it is intact.
+"""A SQLite file with all records of a ledger, which can verify that it is complete.
 
-SQLite takes the first frame of its log that doesn't match for the log's end, and a cell that was cut off
-reads
-as zeros: either would lose a load's record silently. So each row has a checksum, one row holds the sum of all
-checksums and the number of transactions, and the log is filled up to a fixed size before anything is written,
-so that a log cut short is recognized by its size.
+SQLite treats the first invalid frame of its write-ahead log as the end of the log, and a truncated cell reads
+as zeros: either would silently lose the record of a load. So each row has a checksum, a separate row contains
+the sum of all checksums and the number of transactions (the *proof*), and the log is extended to a fixed size
+before the first record is written, so that a truncated log is detected by its size.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
     (one INTEGER PRIMARY KEY, boot INTEGER, turn INTEGER, rows INTEGER, total BLOB, reserve INTEGER)
 """
 
-# What SQLite raises when the disk or the system fails. These errors say nothing of the file's content.
+# Errors of SQLite for a failure of the disk or the system; they don't prove that the file is damaged.
 DISK_ERRORS = (
     apsw.BusyError,
     apsw.CantOpenError,
@@ -40,21 +39,24 @@
     apsw.PermissionsError,
     apsw.ReadOnlyError,
 )
-# The check of a file reports a page that can't be read like one that is damaged, with SQLite's code.
+# `PRAGMA quick_check` reports a page that couldn't be read like a damaged one, but with SQLite's error code.
 UNREADABLE_PAGE = re.compile(r"error code=(\d+)")
-PRIMARY_CODE_MASK = 0xFF  # of an extended result code
+PRIMARY_CODE_MASK = 0xFF  # the primary part of SQLite's extended result codes
 
 
 class RecordFileError(Exception):
-    """The file isn't intact; the text says why."""
+    """The record file isn't intact."""
 
 
 @dataclass(slots=True, frozen=True)
 class FileSizes:
     """Sizes of a record file.
 
-    page_bytes: SQLite's page.
-    log_bytes: the least size of the log, in which `checkpoint_pages` pages and one group of records must fit.
+    Attributes:
+        page_bytes: The size of SQLite's pages.
+        log_bytes: The size to which the write-ahead log is extended; `checkpoint_pages` pages and one group
+            of records must fit into it.
+        checkpoint_pages: The number of pages in the log from which on a checkpoint is due.
     """
 
     page_bytes: int = 4096
@@ -62,32 +64,32 @@
     checkpoint_pages: int = 400
 
 
-# A row is found by the number of its kind, which may be one of a later version, and its key.
+# The number of the row's kind, which may be unknown to this version of the program, and the row's key.
 RowKey = tuple[int, bytes]
 Rows = dict[RowKey, bytes]
 
 
 def row_checksum(kind: int, key: bytes, value: bytes) -> int:
-    """A checksum over all parts of a row, so that a cell that was cut off or mixed up doesn't pass."""
+    """Return a checksum over all parts of a row, which detects truncated and mixed-up cells."""
     return zlib.crc32(value, zlib.crc32(key, zlib.crc32(b"%d %d" % (kind, len(key)))))
 
 
 def log_path(path: Path) -> Path:
-    """The path of a file's write-ahead log."""
+    """Return the path of a record file's write-ahead log."""
     return path.with_name(path.name + "-wal")
 
 
 def _raise_if_unreadable(check_result: str) -> None:
-    """Raise OSError if the check failed because the disk couldn't read a page."""
+    """Raise OSError if the check failed only because a page couldn't be read from the disk."""
     code = UNREADABLE_PAGE.search(check_result)
     if code is not None and int(code[1]) & PRIMARY_CODE_MASK in (apsw.SQLITE_IOERR, apsw.SQLITE_NOMEM):
         raise OSError(errno.EIO, check_result)
 
 
 class RecordFile:
-    """An open file with all its rows in memory.
+    """An open record file, with all its rows in memory.
 
-    Every method but `close` raises apsw.Error or OSError when the disk fails.
+    All methods except `close` raise apsw.Error or OSError if the disk fails.
     """
 
     def __init__(self, path: Path, vfs: str, sizes: FileSizes) -> None:
@@ -106,14 +108,14 @@
 
     def _configure(self) -> None:
         self.connection.config(apsw.SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, 1)
-        # Exclusive: without the log's shared memory, which a VFS in Python can't provide.
+        # Exclusive locking works without shared memory for the log, which a VFS in Python can't provide.
         self._pragma("locking_mode = EXCLUSIVE")
         self._pragma(f"page_size = {self.sizes.page_bytes}")
         if self._pragma("journal_mode = WAL") != "wal":
-            raise RecordFileError("no write-ahead log can be kept here")
+            raise RecordFileError("a write-ahead log isn't supported here")
         self._pragma("synchronous = FULL")
         self._pragma("wal_autocheckpoint = 0")
-        # The log stays at its size when the file is closed.
+        # Closing the file must not remove the log, whose size proves that it isn't truncated.
         persistent = ctypes.c_int(1)
         self.connection.file_control("main", apsw.SQLITE_FCNTL_PERSIST_WAL, ctypes.addressof(persistent))
         self.connection.set_wal_hook(self._on_log_written)
@@ -122,9 +124,9 @@
     def create(
         cls, path: Path, vfs: str, files: Files, sizes: FileSizes, rows: Rows, boot_count: int
     ) -> RecordFile:
-        """A new file with these rows; it and its name are durable on return.
+        """Create a file with these rows; the file and its name are durable on return.
 
-        Nothing stays of one that failed: on a full disk that would take the last free space.
+        If that fails, all of it is removed, since it would use the last space on a full disk.
         """
         for old in (path, log_path(path)):
             files.remove(old)
@@ -153,17 +155,18 @@
 
     @classmethod
     def open(cls, path: Path, vfs: str, files: Files, sizes: FileSizes) -> RecordFile:
-        """An existing file with all its rows.
+        """Open an existing file and read all its rows.
 
-        Raises RecordFileError if it is proven not to be intact; apsw.Error or OSError if the disk doesn't let
-        it be read now.
+        Raises:
+            RecordFileError: The file is proven not to be intact.
+            apsw.Error, OSError: The file can't be read at present.
         """
-        # Measured before SQLite sees the log, since SQLite would create a missing one.
+        # Read before SQLite opens the log, since SQLite would create a missing one.
         log_bytes = files.size(log_path(path))
         try:
             opened = cls(path, vfs, sizes)
         except DISK_ERRORS:
-            # A read that failed proves no damage: an intact file must not be put aside for it.
+            # A failed read doesn't prove damage, and an intact file must not be set aside for it.
             raise
         except apsw.Error as error:
             raise RecordFileError(f"can't be opened: {error}") from error
@@ -190,10 +193,10 @@
             "SELECT boot, turn, rows, total, reserve FROM proof WHERE one = 1"
         ).fetchone()
         if proof is None:
-            raise RecordFileError("no proof in it")
+            raise RecordFileError("the proof is missing")
         self.boot_count, self.transaction_count, row_count, checksum_total, min_log_bytes = proof
         if log_bytes < min_log_bytes:
-            raise RecordFileError(f"its log was cut to {log_bytes} of {min_log_bytes} bytes")
+            raise RecordFileError(f"its log was truncated to {log_bytes} of {min_log_bytes} bytes")
         self._read_rows()
         if len(self.rows) != row_count or self.checksum_total.to_bytes(8, "little") != checksum_total:
             raise RecordFileError("rows are missing")
@@ -203,12 +206,15 @@
             "SELECT kind, key, value, mark FROM record"
         ):
             if row_checksum(kind, key, value) != checksum:
-                raise RecordFileError("a row doesn't fit its checksum")
+                raise RecordFileError("a row doesn't match its checksum")
             self.rows[kind, key] = value
             self.checksum_total = (self.checksum_total + checksum) & MASK_64_BITS
 
     def commit(self, records: Iterable[Record], boot_count: int) -> None:
-        """One transaction; durable when it returns. When it raises, the state of the file is unknown."""
+        """Write records in one transaction, which is durable on return.
+
+        If an error is raised, it is unknown whether the file contains the transaction.
+        """
         checksum_total, transaction_count = self.checksum_total, self.transaction_count
         batch = [((int(record.kind), record.key), record.value) for record in records]
         previous = {row_key: self.rows.get(row_key) for row_key, _ in batch}
@@ -225,21 +231,21 @@
             raise
 
     def checkpoint(self) -> None:
-        """Move the log into the file, so that the log starts again at its beginning."""
+        """Copy the log's pages into the file, so that the log is written from its beginning again."""
         self.connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
         self.log_pages = 0
 
     @property
     def is_checkpoint_due(self) -> bool:
-        """Whether a checkpoint is due, before the log outgrows the size it was filled up to."""
+        """Whether a checkpoint is needed, before the log grows beyond its fixed size."""
         return self.log_pages >= self.sizes.checkpoint_pages
 
     def close(self) -> None:
-        """Close the file; nothing more is written."""
+        """Close the file without a checkpoint."""
         self.connection.close(True)
 
     def _write(self, batch: Sequence[tuple[RowKey, bytes | None]], boot_count: int) -> None:
-        """Write rows and the proof of them, within the open transaction."""
+        """Write rows and the updated proof, within the open transaction."""
         for row_key, value in batch:
             old = self.rows.get(row_key)
             if old is not None:
--- a/cottonhold/store/records.py
+++ b/cottonhold/store/records.py
@@ -1,11 +1,12 @@
-"""The records that survive a restart: formats, how far each kind is trusted when read again, eviction. Pure.
+"""Persistent records: their formats, how far each kind is trusted after a restart, and eviction. Pure.
 
-A record is a kind, a key and a value. Values carry a version byte: a record of a later program, met after a
-downgrade, and a garbled one raise RecordError and are never guessed at. For a load that means: it may have
-run.
+A record consists of a kind, a key and a value. A value begins with a version byte. Decoding a corrupt value,
+or one that a later version of the program wrote before a downgrade, raises RecordError; such a load is
+treated as one that may have run.
 
-No record holds a wall time. Times are this boot's monotonic ms; those of an earlier boot can't be compared
-with anything and are only displayed.
+A *boot* is a start of the instance with its folder, and the boot count numbers them. No record contains a
+wall-clock time: times are in ms on the monotonic clock of the boot that wrote them. Times of an earlier boot
+can't be compared with others and are only displayed.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 from enum import Enum, IntEnum
 
 VERSION = 1
-# A load's identity is drawn anew by whoever sends it, so that two incarnations never mean the same by it.
+# Size of a load's identity. The sender draws it at random, so two incarnations never use the same one.
 IDENTITY_BYTES = 16
 
 
 class RecordError(ValueError):
-    """The value is garbled or of a version that this program doesn't know; the text says which."""
+    """A value is corrupt or has an unknown version."""
 
 
 class RecordKind(IntEnum):
-    """Kinds of records. The numbers are on disk: never used again for something else."""
+    """Kinds of records. The numbers are part of the file format and must never be reused."""
 
     INCARNATION = 1
     LOAD = 2
@@ -40,7 +41,7 @@
 
 
 class Trust(Enum):
-    """How far a new incarnation trusts what it read from the disk."""
+    """How far a new incarnation trusts a record that it read from the disk."""
 
     AUTHORITATIVE = "wholly"
     HINT = "as a hint to be checked"
@@ -60,34 +61,35 @@
     RecordKind.ENGINE_DRAIN: Trust.HINT,
 }
 
-REASONS: dict[RecordKind, str] = {
-    RecordKind.INCARNATION: "only this process writes it, and it only grows; a smaller one would pass for an"
-    " old incarnation",
-    RecordKind.LOAD: "durable before the first byte went out: what it says was sent may have run",
-    RecordKind.PROMISE: "a voter that forgets its promise lets two decisions stand; only its disk knows it",
-    RecordKind.OPERATOR_OVERRIDE: "a person gave it and expects it to stand until a person takes it back",
-    RecordKind.AFFINITY: "on disk before it was announced: others count on it. Only of a complete folder,"
-    " else all of it goes",
-    RecordKind.ENGINE_ADDRESS: "addresses change hands: used only once an engine there has answered, until a"
-    " source does",
-    RecordKind.ENGINE_RATE: "an engine back from a power loss is cold: an upper bound for its slow start,"
-    " never a start",
-    RecordKind.WARM_DATA: "its data sets may have gone with its power: an order in which to ask, no more",
-    RecordKind.MEMBER: "whom to greet first; that it is there is shown by its own message only",
-    RecordKind.ENGINE_DRAIN: "its replacement may be over by now: nothing goes there until the registers have"
-    " been read again",
+TRUST_REASONS: dict[RecordKind, str] = {
+    RecordKind.INCARNATION: "only this process writes it, and it only increases; others would regard a lower"
+    " one as an old incarnation",
+    RecordKind.LOAD: "durable before the load's first byte was sent: a load recorded as sent may have run",
+    RecordKind.PROMISE: "only this disk has it, and a voter that lost it would allow two different decisions",
+    RecordKind.OPERATOR_OVERRIDE: "an operator set it and expects it to apply until an operator removes it",
+    RecordKind.AFFINITY: "durable before it was announced, so others rely on it; if the folder is incomplete,"
+    " all of it is discarded",
+    RecordKind.ENGINE_ADDRESS: "the address may belong to another engine now: used only after an engine has"
+    " replied there, and only until a source answers",
+    RecordKind.ENGINE_RATE: "an engine is cold after a power loss: an upper limit for its slow start, not the"
+    " initial rate",
+    RecordKind.WARM_DATA: "the engine may have lost its data sets: only the order in which engines are asked",
+    RecordKind.MEMBER: "a member to contact first; only its own messages prove that it is alive",
+    RecordKind.ENGINE_DRAIN: "the replacement may be finished: the engine receives no queries until the"
+    " registers have been read",
 }
 
-# What is deliberately never persisted, with the reason.
+# State that is deliberately never persisted, with the reason.
 NOT_PERSISTED: dict[str, str] = {
-    "health": "a moment's evidence; old evidence sends the first requests to the wrong place with confidence",
-    "pace": "parts of a shared budget: an old part plus the new ones would add up to more than the whole",
-    "admission threshold": "follows demand within seconds; an old one refuses clients without need",
-    "loan": "belongs to a budget of a time that is over",
-    "lease": "its clock stopped; a voter is silent for a whole lease after its start instead",
+    "health": "valid for a moment only; outdated health would send the first requests to the wrong engines",
+    "pace": "a share of a common budget: old and new shares together would exceed the budget",
+    "admission threshold": "follows demand within seconds; an outdated one would reject clients needlessly",
+    "loan": "belongs to the budget of a period that has ended",
+    "lease": "its clock has stopped; instead a voter grants nothing for one whole lease after its start",
 }
 
-# A load's record is some 300 bytes: 20,000 are 6 MB of file and of memory.
+# The largest number of records of each kind. A load's record has about 300 bytes: 20,000 of them need 6 MB on
+# disk and in memory.
 MAX_RECORDS: dict[RecordKind, int] = {
     RecordKind.INCARNATION: 4,
     RecordKind.LOAD: 20_000,
@@ -104,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """One value under its kind and key; `value` None removes it."""
+    """A value with its kind and key. A `value` of None removes the record."""
 
     kind: RecordKind
     key: bytes
@@ -112,14 +114,12 @@
 
 
 class LoadState(IntEnum):
-    """SENT: its end isn't known, it may have run. COMPLETED, FAILED: as the engine answered. NEVER_SENT: no
-    byte was sent.
-    """
+    """The state of a load. The numbers are part of the file format."""
 
-    SENT = 0
-    COMPLETED = 1
-    FAILED = 2
-    NEVER_SENT = 3
+    SENT = 0  # it may have run; its end isn't known
+    COMPLETED = 1  # the engine reported success
+    FAILED = 2  # the engine reported an error
+    NEVER_SENT = 3  # no byte of it was sent
 
 
 _LOAD = struct.Struct("<BBQdd")
@@ -131,8 +131,18 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadRecord:
-    """A load: its identity, the client's request id, ordering key, digest of the statement, the engine and
-    the boot it was sent in. Times are on that boot's monotonic clock and mean nothing in another.
+    """A load (a query that writes).
+
+    Attributes:
+        identity: The load's random identity, which is the record's key.
+        request_id: The client's request id.
+        ordering_key: The load's ordering key.
+        statement_digest: A digest of the statement.
+        engine: The id of the engine that it was sent to.
+        boot_count: The boot in which it was sent.
+        sent_at_ms: When it was sent, on that boot's monotonic clock.
+        state: The load's state.
+        ended_at_ms: When it ended, on that boot's monotonic clock; 0 if it hasn't.
     """
 
     identity: bytes
@@ -147,11 +157,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether its end isn't known."""
+        """Whether the load's end isn't known."""
         return self.state is LoadState.SENT
 
     def encode(self) -> bytes:
-        """The value; the identity is the record's key."""
+        """Encode the record's value; the identity is the key."""
         head = _LOAD.pack(VERSION, self.state, self.boot_count, self.sent_at_ms, self.ended_at_ms)
         texts = (
             self.request_id.encode(),
@@ -162,14 +172,14 @@
         return head + b"".join(_encode_text(text) for text in texts)
 
     def to_record(self) -> Record:
-        """The record to be put."""
+        """Return the record to store."""
         return Record(RecordKind.LOAD, self.identity, self.encode())
 
     @classmethod
     def decode(cls, identity: bytes, value: bytes) -> LoadRecord:
-        """The meaning of a record. Raises RecordError."""
+        """Decode a record. Raises RecordError if it is corrupt or has an unknown version."""
         if len(identity) != IDENTITY_BYTES:
-            raise RecordError(f"a load's identity of {len(identity)} bytes")
+            raise RecordError(f"a load's identity has {len(identity)} bytes")
         _check_version(value, _LOAD.size)
         _, state, boot_count, sent_at_ms, ended_at_ms = _LOAD.unpack_from(value)
         request_id, ordering_key, digest, engine = _decode_texts(value, _LOAD.size, 4)
@@ -186,68 +196,77 @@
                 ended_at_ms,
             )
         except ValueError as error:
-            raise RecordError(f"a garbled load: {error}") from error
+            raise RecordError(f"corrupt load: {error}") from error
 
 
 @dataclass(slots=True, frozen=True)
 class IncarnationRecord:
-    """One incarnation of this process: its boot, its incarnation among the members, and how it ended."""
+    """One incarnation of this instance.
+
+    Attributes:
+        boot_count: The boot's number.
+        incarnation: The incarnation in the membership protocol.
+        closed_cleanly: Whether the boot ended by a clean shutdown.
+    """
 
     boot_count: int
     incarnation: int
     closed_cleanly: bool
 
     def encode(self) -> bytes:
-        """The value."""
+        """Encode the record's value."""
         return _INCARNATION.pack(VERSION, self.boot_count, self.incarnation, self.closed_cleanly)
 
     def to_record(self) -> Record:
-        """The record to be put: there is one."""
+        """Return the record to store; there is only one of this kind."""
         return Record(RecordKind.INCARNATION, b"life", self.encode())
 
     @classmethod
     def decode(cls, value: bytes) -> IncarnationRecord:
-        """The meaning of a record. Raises RecordError."""
+        """Decode a value. Raises RecordError if it is corrupt or has an unknown version."""
         _check_version(value, _INCARNATION.size)
         if len(value) != _INCARNATION.size or value[-1] > 1:
-            raise RecordError("a garbled incarnation")
+            raise RecordError("corrupt incarnation")
         _, boot_count, incarnation, closed_cleanly = _INCARNATION.unpack(value)
         return cls(boot_count, incarnation, bool(closed_cleanly))
 
 
 @dataclass(slots=True, frozen=True)
 class Hint:
-    """Something that was true when it was written. age_ms: its age by then; how long the power was off since
-    isn't known, so its true age is higher.
+    """A value that was true when it was written, and must be verified.
+
+    Attributes:
+        value: The value, in a format of its kind.
+        age_ms: The value's age when it was written, in ms. Its real age is higher by an unknown time.
     """
 
     value: bytes
     age_ms: float
 
     def encode(self) -> bytes:
-        """The record's value."""
+        """Encode the record's value."""
         return _HINT.pack(VERSION, self.age_ms) + self.value
 
     @classmethod
     def decode(cls, value: bytes) -> Hint:
-        """The meaning of a record. Raises RecordError."""
+        """Decode a value. Raises RecordError if it is corrupt or has an unknown version."""
         _check_version(value, _HINT.size)
         age_ms = _HINT.unpack_from(value)[1]
         if not age_ms >= 0.0:
-            raise RecordError("a hint's age isn't one")
+            raise RecordError("the age of a hint is negative or NaN")
         return cls(value[_HINT.size :], age_ms)
 
 
 def _check_version(value: bytes, min_bytes: int) -> None:
     if not value or value[0] != VERSION:
-        raise RecordError(f"version {value[0]}" if value else "an empty value")
+        raise RecordError(f"unknown version {value[0]}" if value else "empty value")
     if len(value) < min_bytes:
-        raise RecordError("cut short")
+        raise RecordError("truncated value")
 
 
 def _encode_text(text: bytes) -> bytes:
     if len(text) > _MAX_TEXT_BYTES:
-        raise RecordError(f"a part of over {_MAX_TEXT_BYTES} bytes")
+        raise RecordError(f"a field is longer than {_MAX_TEXT_BYTES} bytes")
     return len(text).to_bytes(_TEXT_SIZE_BYTES, "little") + text
 
 
@@ -258,24 +277,29 @@
         begin = position + _TEXT_SIZE_BYTES
         end = begin + int.from_bytes(value[position:begin], "little")
         if end > len(value):
-            raise RecordError("cut short")
+            raise RecordError("truncated value")
         texts.append(value[begin:end])
         position = end
     if position != len(value):
-        raise RecordError("more than there should be")
+        raise RecordError("unexpected bytes after the last field")
     return texts
 
 
 @dataclass(slots=True, frozen=True)
 class DecodedLoads:
-    """Loads as read. unreadable: identities of loads whose records can't be decoded; they may have run."""
+    """Decoded load records.
+
+    Attributes:
+        by_identity: The loads by identity.
+        unreadable: Identities of loads whose records can't be decoded; these loads may have run.
+    """
 
     by_identity: dict[bytes, LoadRecord]
     unreadable: frozenset[bytes]
 
 
 def decode_loads(values: Mapping[bytes, bytes]) -> DecodedLoads:
-    """All loads' records. One that can't be read counts as one that may have run and is never left out."""
+    """Decode load records, by identity; those that can't be decoded are returned as `unreadable`."""
     by_identity: dict[bytes, LoadRecord] = {}
     unreadable = set()
     for identity, value in values.items():
@@ -288,8 +312,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Eviction:
-    """The keys to evict. early_count: how many of them are within their retention and go only to make room,
-    so that a retry of theirs would run again. is_full: there is still no room, since only open ones remain.
+    """The result of an eviction.
+
+    Attributes:
+        keys: The keys of the records to evict.
+        early_count: How many of them are loads still within their retention time, evicted only to free slots;
+            if a client retries such a load, it runs again.
+        is_full: Whether there are still too few free slots, since the remaining records can't be evicted.
     """
 
     keys: tuple[bytes, ...]
@@ -307,11 +336,18 @@
     max_records: int = MAX_RECORDS[RecordKind.LOAD],
     free_slots: int = 1,
 ) -> Eviction:
-    """Which loads to evict so that `free_slots` more fit under `max_records`.
-
-    retention_ms: how long a client may still retry after a load's end. A load of this boot goes one retention
-    after its end. Those of earlier boots go one retention after this boot's start: by then their clients have
-    given up, whenever they ended. To make room the one that ended first goes first; an open one never does.
+    """Select the loads to evict so that `free_slots` more fit within `max_records`.
+
+    A load of this boot expires one retention time after its end. Loads of other boots expire one retention
+    time after this boot's start, when their clients have stopped retrying, whenever they ended. If more slots
+    are needed, the loads that ended first are evicted early; an open load never is.
+
+    Args:
+        loads: All load records.
+        now_ms: The time on this boot's monotonic clock.
+        boot_count: This boot's number.
+        boot_started_at_ms: When this boot started.
+        retention_ms: How long after a load's end its client may still retry it, in ms.
     """
     expired: list[bytes] = []
     ended: list[tuple[int, float, bytes]] = []
@@ -335,10 +371,16 @@
 def evict_records(
     kind: RecordKind, ages_ms: Mapping[bytes, float], *, free_slots: int = 1, max_records: int = 0
 ) -> Eviction:
-    """Which of a kind's records to evict so that `free_slots` more fit.
+    """Select the records of a kind to evict so that `free_slots` more fit.
+
+    Hints are evicted in the order of their age, the oldest first. Authoritative records are only removed by
+    their owners, so `is_full` is set if they leave too few free slots.
 
-    Hints go by age, the oldest first. Authoritative records are removed by their owners only: `is_full` when
-    they leave no room.
+    Args:
+        kind: The kind of the records.
+        ages_ms: The age of each record by its key, in ms.
+        free_slots: How many more records must fit.
+        max_records: The largest number of records; 0 for the kind's default.
     """
     surplus = max(0, len(ages_ms) + free_slots - (max_records or MAX_RECORDS[kind]))
     if not surplus or TRUST_BY_KIND[kind] is not Trust.HINT:
--- a/tests/store/history.py
+++ b/tests/store/history.py
@@ -1,8 +1,9 @@
-"""A ledger on a disk that fails, played with, and the checker of what it tells after a cut.
+"""Runs a ledger on a failing disk, and checks its content after each power loss.
 
-The checker holds a ledger to this: a load of which `done(True)` was told is in every later memory that calls
-itself whole, at least as far as it was told; the boot grows; no content keeps it from opening; and a memory
-is whole again after a mere cut."""
+The checker requires that a load reported as durable, by `done(True)`, is in the content of every later boot
+that reports completeness, at least in the reported state; that the boot count increases; that no content
+prevents the ledger from opening; and that a power loss alone doesn't make the content incomplete.
+"""
 
 from __future__ import annotations
 
@@ -27,15 +28,15 @@
 VFS = "failing"
 
 
-def load(number: int, state: LoadState = LoadState.SENT, boot: int = 1) -> LoadRecord:
-    """A load by number."""
+def load(number: int, state: LoadState = LoadState.SENT, boot_count: int = 1) -> LoadRecord:
+    """Return a load whose fields follow from its number."""
     return LoadRecord(
         number.to_bytes(16, "big"),
         f"ref-{number}",
         f"key-{number % 3}",
         b"digest",
         "engine",
-        boot,
+        boot_count,
         1.0,
         state,
     )
@@ -47,96 +48,98 @@
     def __init__(self, folder: Path, settings: LedgerSettings = SMALL) -> None:
         self.folder, self.settings = folder, settings
         self.promised: dict[bytes, LoadState] = {}
-        self.tried: dict[bytes, set[LoadState | None]] = {}
-        self.settled = self.may_be_settled = False
-        self.boot = 0
+        self.attempted: dict[bytes, set[LoadState | None]] = {}
+        self.is_marked_complete = self.may_be_complete = False
+        self.boot_count = 0
         self.disk = Disk()
         self.ledger: Ledger | None = None
 
     def open(self, orders: Orders | None = None) -> bool:
-        """Open after a power loss and check the records; false if the disk failed meanwhile, which it may."""
+        """Open after a power loss and check the records; return false if the disk failed meanwhile."""
         self.disk = install(VFS)
         self.disk.orders = orders or Orders()
         return self.reopen()
 
     def reopen(self) -> bool:
-        """The same without a power loss before."""
+        """Open without a preceding power loss and check the records; return false if the disk failed."""
         try:
             self.ledger = Ledger.open(self.folder, "a", VFS, self.settings)
         except StoreError:
-            assert self.disk.is_off or self.disk.orders != Orders(), "it must open on a disk that is well"
+            assert self.disk.is_off or self.disk.orders != Orders(), "it must open on a healthy disk"
             self.ledger = None
             return False
         self.check(self.ledger)
         return True
 
     def check(self, ledger: Ledger) -> None:
-        """See the module."""
-        assert ledger.boot_count > self.boot, "the boot must grow"
-        self.boot = ledger.boot_count
-        kept = ledger.records(RecordKind.LOAD)
-        if self.settled:
-            assert ledger.completeness is Completeness.COMPLETE, f"a cut isn't a loss: {ledger.reason}"
+        """Check the requirements in the module's docstring."""
+        assert ledger.boot_count > self.boot_count, "the boot count must increase"
+        self.boot_count = ledger.boot_count
+        records = ledger.records(RecordKind.LOAD)
+        if self.is_marked_complete:
+            assert ledger.completeness is Completeness.COMPLETE, (
+                f"a power loss made it incomplete: {ledger.reason}"
+            )
         if ledger.completeness is Completeness.UNKNOWN:
             return
-        assert self.may_be_settled, "nothing told it that its memory is whole"
+        assert self.may_be_complete, "it was never marked as complete"
         for identity, state in self.promised.items():
-            value = kept.get(identity)
-            found = None if value is None else LoadRecord.decode(identity, value).state
-            may = {state, *self.tried.get(identity, ())}
-            assert found in may, f"{identity.hex()}: {state} became {found}"
+            value = records.get(identity)
+            found_state = None if value is None else LoadRecord.decode(identity, value).state
+            allowed_states = {state, *self.attempted.get(identity, ())}
+            assert found_state in allowed_states, f"{identity.hex()}: {state} became {found_state}"
 
     def put(self, records: list[Record]) -> bool:
-        """Waits for `done`."""
+        """Write records; return whether they were reported as durable."""
         assert self.ledger is not None
-        told, answers = threading.Event(), []
+        is_answered, answers = threading.Event(), []
 
-        def done(well: bool) -> None:
-            answers.append(well)
-            told.set()
+        def done(is_durable: bool) -> None:
+            answers.append(is_durable)
+            is_answered.set()
 
         self.ledger.put(records, done)
-        assert told.wait(20.0) and len(answers) == 1
+        assert is_answered.wait(20.0) and len(answers) == 1
         return answers[0]
 
     def wait_until_healthy(self) -> None:
-        """The disk is well again, and soon the ledger is."""
+        """Wait until the ledger has recovered; the disk must be healthy."""
         assert self.ledger is not None
         for _ in range(5000):
             if self.ledger.health(0.0).state is DiskState.HEALTHY:
                 return
             time.sleep(0.002)
-        raise AssertionError("it doesn't recover")
+        raise AssertionError("the ledger doesn't recover")
 
     def send(self, number: int, state: LoadState = LoadState.SENT) -> bool:
-        """A load's record. What isn't promised may be there or not."""
-        record = load(number, state, self.boot)
-        self.tried.setdefault(record.identity, set()).add(state)
-        well = self.put([record.to_record()])
-        if well:
+        """Write a load's record. One that isn't reported as durable may be found later or not."""
+        record = load(number, state, self.boot_count)
+        self.attempted.setdefault(record.identity, set()).add(state)
+        is_durable = self.put([record.to_record()])
+        if is_durable:
             self.promised[record.identity] = state
-            self.tried[record.identity] = set()
-        return well
+            self.attempted[record.identity] = set()
+        return is_durable
 
     def remove(self, number: int) -> bool:
         """Remove a load's record."""
         identity = load(number).identity
-        self.tried.setdefault(identity, set()).add(None)
-        well = self.put([Record(RecordKind.LOAD, identity, None)])
-        if well:
+        self.attempted.setdefault(identity, set()).add(None)
+        is_durable = self.put([Record(RecordKind.LOAD, identity, None)])
+        if is_durable:
             self.promised.pop(identity, None)
-            self.tried[identity] = set()
-        return well
+            self.attempted[identity] = set()
+        return is_durable
 
     def mark_complete(self) -> bool:
         """Mark the content as complete."""
-        self.may_be_settled = True
-        well = self.put([COMPLETE_MARK])
-        self.settled = self.settled or well
-        return well
+        self.may_be_complete = True
+        is_durable = self.put([COMPLETE_MARK])
+        self.is_marked_complete = self.is_marked_complete or is_durable
+        return is_durable
 
     def close(self, clean: bool) -> None:
-        """Close the ledger; after a power loss that only ends its thread."""
+        """Close the ledger; after a power loss this only ends its thread."""
         if self.ledger is not None:
             self.ledger.close(clean)
             self.ledger = None
@@ -158,7 +161,7 @@
 
 
 def script(play: LedgerRun) -> None:
-    """Two lives with everything in them, each step only if the one before was taken."""
+    """Run two boots with all kinds of operations; stop if the second one can't be opened."""
     play.send(1)
     play.mark_complete()
     for number in range(2, 9):
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -1,4 +1,4 @@
-"""The power goes at every write and every sync: what was promised is there, and nothing refuses to start."""
+"""Power losses at every write and sync: no record reported as durable is lost, and the ledger opens again."""
 
 from __future__ import annotations
 
@@ -25,43 +25,50 @@
 
 
 def count_operations(folder: Path) -> int:
-    """Writes and syncs of the whole script."""
+    """Return the number of writes and syncs in the whole script."""
     play = LedgerRun(folder)
     assert play.open()
     script(play)
     return play.disk.operations
 
 
-def cut_at_each_operation(folder: Path, counts: Iterable[int], some: bool = False) -> None:
-    """Plays the script once for each count, cut there; `some`: part of what was unsynced got there."""
+def lose_power_at_each_operation(
+    folder: Path, counts: Iterable[int], keeps_some_writes: bool = False
+) -> None:
+    """Run the script once for each count, with a power loss at this operation.
+
+    With `keeps_some_writes`, a random part of the unsynced writes reaches the disk.
+    """
     for count in counts:
-        play = LedgerRun(folder / f"{count}-{some}")
+        play = LedgerRun(folder / f"{count}-{keeps_some_writes}")
         play.folder.mkdir(parents=True)
-        chance = random.Random(count) if some else None
-        install_and_cut(play, count, chance)
+        chance = random.Random(count) if keeps_some_writes else None
+        run_with_power_loss(play, count, chance)
         play.cut_power()
         for _ in range(2):
-            assert play.open(), "it refused to start"
+            assert play.open(), "it didn't open"
             assert play.send(100) and play.mark_complete()
             play.cut_power(chance)
 
 
-def install_and_cut(play: LedgerRun, count: int, chance: random.Random | None) -> None:
-    """The cut may come while it opens."""
+def run_with_power_loss(play: LedgerRun, count: int, chance: random.Random | None) -> None:
+    """Run the script with a power loss at the `count`th operation, which may be while the ledger opens."""
     play.disk = install(VFS)
     play.cut_power_at(count, chance)
     if play.reopen():
         script(play)
 
 
-@pytest.mark.parametrize("some", [False, True], ids=["unsynced-lost", "some-unsynced-kept"])
-def test_a_power_loss_at_any_write_or_sync_loses_nothing_reported(tmp_path: Path, some: bool) -> None:
+@pytest.mark.parametrize("keeps_some_writes", [False, True], ids=["unsynced-lost", "some-unsynced-kept"])
+def test_a_power_loss_at_any_write_or_sync_loses_nothing_reported(
+    tmp_path: Path, keeps_some_writes: bool
+) -> None:
     last = count_operations(tmp_path / "whole")
     assert last > 100
-    cut_at_each_operation(tmp_path, range(1, last + 1), some)
+    lose_power_at_each_operation(tmp_path, range(1, last + 1), keeps_some_writes)
 
 
-LOST = "became|a cut isn't a loss"
+LOSS_ERROR = "became|a power loss made it incomplete"
 
 
 def done_before_sync(ledger: Ledger, group: list[Any], commit: Callable[..., bool]) -> bool:
@@ -83,53 +90,55 @@
     commit = Ledger._commit
     last = count_operations(tmp_path / "whole")
     monkeypatch.setattr(Ledger, "_commit", lambda ledger, group: defect(ledger, group, commit))
-    with pytest.raises(AssertionError, match=LOST):
-        cut_at_each_operation(tmp_path, range(1, last + 1))
+    with pytest.raises(AssertionError, match=LOSS_ERROR):
+        lose_power_at_each_operation(tmp_path, range(1, last + 1))
 
 
 def test_a_missing_sync_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     pragma = RecordFile._pragma
     full, off = "synchronous = FULL", "synchronous = OFF"
-    monkeypatch.setattr(RecordFile, "_pragma", lambda book, what: pragma(book, off if what == full else what))
-    with pytest.raises(AssertionError, match=LOST):
-        cut_at_each_operation(tmp_path, range(1, 200))
+    monkeypatch.setattr(
+        RecordFile, "_pragma", lambda record_file, step: pragma(record_file, off if step == full else step)
+    )
+    with pytest.raises(AssertionError, match=LOSS_ERROR):
+        lose_power_at_each_operation(tmp_path, range(1, 200))
 
 
 def test_a_record_written_after_its_send_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     put = Ledger.put
 
-    def sent_first(ledger: Ledger, records: Any, done: Callable[[bool], None]) -> None:
+    def report_before_write(ledger: Ledger, records: Any, done: Callable[[bool], None]) -> None:
         done(True)
         put(ledger, records)
 
-    monkeypatch.setattr(Ledger, "put", sent_first)
-    with pytest.raises(AssertionError, match=LOST):
-        cut_at_each_operation(tmp_path, range(1, 200))
+    monkeypatch.setattr(Ledger, "put", report_before_write)
+    with pytest.raises(AssertionError, match=LOSS_ERROR):
+        lose_power_at_each_operation(tmp_path, range(1, 200))
 
 
 def test_a_rename_before_the_sync_of_its_content_is_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def hasty(files: Files, path: Path, content: bytes) -> None:
+    def replace_without_sync(files: Files, path: Path, content: bytes) -> None:
         new = path.with_name(path.name + ".new")
         files.append(new, content, truncate=True)
         files.move(new, path)
         files.sync_folder(path.parent)
 
-    for planted in (False, True):
+    for has_defect in (False, True):
         with monkeypatch.context() as patched:
-            if planted:
-                patched.setattr(Files, "replace", hasty)
-            play = LedgerRun(tmp_path / str(planted))
+            if has_defect:
+                patched.setattr(Files, "replace", replace_without_sync)
+            play = LedgerRun(tmp_path / str(has_defect))
             play.folder.mkdir()
             assert play.open() and play.send(1)
             play.cut_power()
             empty = (play.folder / "a.life").read_bytes() == b""
-            assert empty == planted
+            assert empty == has_defect
 
 
 def fail_one_sync(play: LedgerRun) -> None:
-    """Then a load, well taken, and the power goes."""
+    """Fail one sync, then write a load successfully, and lose power."""
     assert play.open() and play.send(1) and play.mark_complete()
     play.disk.orders = Orders(fail_sync=1)
     assert not play.send(2)
@@ -143,7 +152,7 @@
 def test_after_a_failed_sync_all_records_are_rewritten(tmp_path: Path) -> None:
     play = LedgerRun(tmp_path)
     fail_one_sync(play)
-    assert play.ledger is not None and play.ledger.folder.generation == 3, "by the failure, and by the cut"
+    assert play.ledger is not None and play.ledger.folder.generation == 3, "the failure and the power loss"
     play.close(True)
 
 
@@ -159,14 +168,14 @@
     play = LedgerRun(tmp_path)
     assert play.open() and play.send(1) and play.mark_complete()
     play.disk.orders = Orders(fail_sync=1)
-    assert play.send(2), "the second sync said yes"
+    assert play.send(2), "the second sync reported success"
     play.cut_power()
-    with pytest.raises(AssertionError, match=LOST):
+    with pytest.raises(AssertionError, match=LOSS_ERROR):
         play.open()
 
 
 def restart_after_a_failed_sync(play: LedgerRun) -> None:
-    """Without a power loss between: the cache still has what the failed sync should have written."""
+    """Restart without a power loss: the kernel's cache still has what the failed sync should have written."""
     assert play.open() and play.send(1) and play.mark_complete()
     play.disk.orders = Orders(fail_sync=1)
     assert not play.send(2)
@@ -181,22 +190,22 @@
 def test_a_restart_does_not_rely_on_the_kernels_cache(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Without a checkpoint, which would happen to write what was lost once more.
+    # Without checkpoints, which would write the lost pages again by chance.
     settings = replace(SMALL, file_sizes=replace(SMALL.file_sizes, checkpoint_pages=1000))
     restart_after_a_failed_sync(LedgerRun(tmp_path / "right", settings))
     monkeypatch.setattr(ledger_folder, "_was_closed_cleanly", lambda boot_file: boot_file is not None)
-    with pytest.raises(AssertionError, match=LOST):
+    with pytest.raises(AssertionError, match=LOSS_ERROR):
         restart_after_a_failed_sync(LedgerRun(tmp_path / "planted", settings))
 
 
 def test_a_disk_that_ignores_syncs_is_detected(tmp_path: Path) -> None:
-    """No ledger can do anything against it: the checker must see it all the same."""
+    """No ledger can protect against such a disk, but the checker must detect the loss."""
     play = LedgerRun(tmp_path)
     assert play.open() and play.send(1) and play.mark_complete()
     play.disk.orders = Orders(lie_sync=True)
     assert play.send(2)
     play.cut_power()
-    with pytest.raises(AssertionError, match=LOST):
+    with pytest.raises(AssertionError, match=LOSS_ERROR):
         play.open()
 
 
@@ -230,21 +239,21 @@
 ) -> None:
     play, chance = LedgerRun(tmp_path_factory.mktemp("history")), random.Random(seed)
     assert play.open()
-    for what, number in steps:
-        if what == "send":
+    for step, number in steps:
+        if step == "send":
             play.send(number)
-        elif what == "end":
+        elif step == "end":
             play.send(number, LoadState.COMPLETED)
-        elif what == "forget":
+        elif step == "forget":
             play.remove(number)
-        elif what == "settle":
+        elif step == "settle":
             play.mark_complete()
-        elif what == "fail":
+        elif step == "fail":
             play.disk.orders = Orders(fail_sync=0.2, fail_write=0.1, leak=0.2) if number else Orders()
-        elif what == "cut":
+        elif step == "cut":
             play.cut_power_at(number, chance)
-        if what == "close" or play.disk.is_off:
-            # A close may be cut as well.
+        if step == "close" or play.disk.is_off:
+            # The power loss may happen during the close.
             play.disk.orders = play.disk.orders if play.disk.is_off else Orders()
             play.close(True)
             if play.disk.is_off or not play.reopen():
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -1,4 +1,4 @@
-"""Files cut at every byte, overwritten, missing or of another life: whole or unknown, never wrong."""
+"""Truncated, overwritten, missing and outdated files: the content is complete, or reported as unknown."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from tests.store.history import SMALL, VFS, LedgerRun, load
 
 LOADS = 6
-# The turn in a life file whose life wasn't closed.
+# The number of transactions in the boot file of a boot that wasn't closed cleanly.
 NOT_CLEAN = b"\xff" * 8
 
 
 @pytest.fixture(params=[True, False], ids=["clean-end", "cut-off"])
 def folder(request: pytest.FixtureRequest, tmp_path: Path) -> Path:
-    """A ledger's folder after two lives, with its loads."""
+    """A ledger's folder with loads, after two boots."""
     play = LedgerRun(tmp_path / "kept")
     assert play.open()
     for number in range(LOADS):
@@ -40,37 +40,37 @@
 
 
 def read_rows(folder: Path) -> dict[tuple[int, bytes], bytes] | None:
-    """What the book says of itself; None: that it isn't whole."""
+    """Return the rows of the record file; None if it isn't intact."""
     install(VFS)
     try:
-        book = RecordFile.open(folder / "a.1.db", VFS, files.files_of(VFS), SMALL.file_sizes)
+        opened_file = RecordFile.open(folder / "a.1.db", VFS, files.files_of(VFS), SMALL.file_sizes)
     except RecordFileError:
         return None
-    book.close()
-    return book.rows
+    opened_file.close()
+    return opened_file.rows
 
 
 def sizes_read_wrongly(folder: Path, name: str, sizes: range, work: Path) -> list[int]:
-    """The cut sizes after which a book calls itself whole and isn't."""
-    whole, wrong = read_rows(folder), []
-    assert whole is not None and len(whole) == LOADS + 1
+    """Return the sizes to which the file can be truncated without being detected."""
+    intact_rows, wrong = read_rows(folder), []
+    assert intact_rows is not None and len(intact_rows) == LOADS + 1
     shutil.copytree(folder, work)
     content = (folder / name).read_bytes()
     for size in sizes:
         (work / name).write_bytes(content[:size])
-        if read_rows(work) not in (None, whole):
+        if read_rows(work) not in (None, intact_rows):
             wrong.append(size)
     return wrong
 
 
-def test_a_file_truncated_at_any_byte_is_recognized(folder: Path, tmp_path: Path) -> None:
+def test_a_file_truncated_at_any_byte_is_detected(folder: Path, tmp_path: Path) -> None:
     size = (folder / "a.1.db").stat().st_size
-    # After a cut the log holds all of it, and few of the file's bytes are read at all.
+    # After a power loss the log contains all pages, and only few bytes of the file are read.
     clean = (folder / "a.life").read_bytes()[-12:-4] != NOT_CLEAN
     assert sizes_read_wrongly(folder, "a.1.db", range(0, size, 1 if clean else 11), tmp_path / "work") == []
 
 
-def test_a_log_truncated_at_any_byte_is_recognized(folder: Path, tmp_path: Path) -> None:
+def test_a_log_truncated_at_any_byte_is_detected(folder: Path, tmp_path: Path) -> None:
     size = (folder / "a.1.db-wal").stat().st_size
     assert sizes_read_wrongly(folder, "a.1.db-wal", range(200), tmp_path / "first") == []
     assert sizes_read_wrongly(folder, "a.1.db-wal", range(200, size, 67), tmp_path / "rest") == []
@@ -80,33 +80,33 @@
 def test_a_log_whose_size_is_not_checked_is_detected(
     folder: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The plant: SQLite alone takes a cut log for a shorter one."""
+    """SQLite alone doesn't distinguish a truncated log from a shorter one."""
     monkeypatch.setattr(Files, "size", lambda files, path: 1 << 30)
     monkeypatch.setattr("cottonhold.emulator.disk.DiskFiles.size", lambda files, path: 1 << 30)
     if (folder / "a.life").read_bytes()[-12:-4] != NOT_CLEAN:
-        return  # After a clean end the log's content is in the file as well.
+        return  # After a clean close the file contains the log's pages as well.
     size = (folder / "a.1.db-wal").stat().st_size
     assert sizes_read_wrongly(folder, "a.1.db-wal", range(0, size, 64), tmp_path / "work")
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_overwritten_bytes_are_recognized(folder: Path, seed: int) -> None:
+def test_overwritten_bytes_are_detected(folder: Path, seed: int) -> None:
     chance, path = random.Random(seed), folder / "a.1.db"
-    whole, content = read_rows(folder), bytearray(path.read_bytes())
+    intact_rows, content = read_rows(folder), bytearray(path.read_bytes())
     for _ in range(chance.randint(1, 4)):
         at = chance.randrange(len(content))
         content[at : at + 8] = chance.randbytes(min(8, len(content) - at))
     path.write_bytes(content)
-    assert read_rows(folder) in (None, whole)
+    assert read_rows(folder) in (None, intact_rows)
 
 
 def test_rows_without_checksums_are_detected(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The plant: with every checksum taken for right, a value overwritten is told as it now is."""
+    """If no checksum is compared, an overwritten value is returned as if it were right."""
     path = folder / "a.1.db"
     content = path.read_bytes()
     if b"ref-5" not in content:
-        return  # It is in the log, which has checksums of its own.
-    whole = read_rows(folder)
+        return  # The value is in the log, which has its own checksums.
+    intact_rows = read_rows(folder)
     path.write_bytes(content.replace(b"ref-5", b"ref-7"))
     assert read_rows(folder) is None
 
@@ -121,46 +121,48 @@
 
     real = record_file.row_checksum
     monkeypatch.setattr(record_file, "row_checksum", lambda kind, key, value: Same(real(kind, key, value)))
-    assert read_rows(folder) not in (None, whole)
+    assert read_rows(folder) not in (None, intact_rows)
 
 
 @pytest.mark.parametrize("name", ["a.1.db", "a.1.db-wal", "a.life"])
-@pytest.mark.parametrize("left", [-1, 0, 1, 20])
-def test_a_damaged_folder_opens_and_reports_the_damage(folder: Path, name: str, left: int) -> None:
-    """-1: the file is missing."""
+@pytest.mark.parametrize("remaining_bytes", [-1, 0, 1, 20])
+def test_a_damaged_folder_opens_and_reports_the_damage(folder: Path, name: str, remaining_bytes: int) -> None:
+    """A negative size means that the file is missing."""
     content = (folder / name).read_bytes()
     (folder / name).unlink()
-    if left >= 0:
-        (folder / name).write_bytes(content[:left])
+    if remaining_bytes >= 0:
+        (folder / name).write_bytes(content[:remaining_bytes])
     install(VFS)
     ledger = Ledger.open(folder, "a", VFS, SMALL)
     assert ledger.boot_count == 3
-    kept = ledger.records(RecordKind.LOAD)
+    records = ledger.records(RecordKind.LOAD)
     if name == "a.life":
         assert (
-            ledger.completeness is Completeness.COMPLETE and len(kept) == LOADS and not ledger.closed_cleanly
+            ledger.completeness is Completeness.COMPLETE
+            and len(records) == LOADS
+            and not ledger.closed_cleanly
         )
     elif ledger.completeness is Completeness.UNKNOWN:
-        assert kept == {} and ledger.reason
-        assert ledger.damaged_files == (0 if (name, left) == ("a.1.db", -1) else 1)
+        assert records == {} and ledger.reason
+        assert ledger.damaged_files == (0 if (name, remaining_bytes) == ("a.1.db", -1) else 1)
     else:
-        # The log held all of it.
-        assert name == "a.1.db" and len(kept) == LOADS
+        # The log contains all pages.
+        assert name == "a.1.db" and len(records) == LOADS
     ledger.close(True)
-    was = ledger.completeness
+    first_completeness = ledger.completeness
     install(VFS)
     ledger = Ledger.open(folder, "a", VFS, SMALL)
-    assert (ledger.completeness, ledger.boot_count) == (was, 4), (
-        "an emptied memory stays so until somebody settles it"
+    assert (ledger.completeness, ledger.boot_count) == (first_completeness, 4), (
+        "the completeness must not change until the content is marked as complete"
     )
     ledger.close(True)
 
 
-@pytest.mark.parametrize("left", range(34))
-def test_a_boot_file_truncated_at_any_byte_is_recognized(folder: Path, left: int) -> None:
+@pytest.mark.parametrize("remaining_bytes", range(34))
+def test_a_boot_file_truncated_at_any_byte_is_detected(folder: Path, remaining_bytes: int) -> None:
     content = (folder / "a.life").read_bytes()
     assert len(content) == 33
-    (folder / "a.life").write_bytes(content[:left])
+    (folder / "a.life").write_bytes(content[:remaining_bytes])
     install(VFS)
     ledger = Ledger.open(folder, "a", VFS, SMALL)
     assert ledger.boot_count == 3 and ledger.completeness is Completeness.COMPLETE
@@ -169,25 +171,25 @@
 
 def test_an_emptied_folder_is_unknown_until_marked_complete(tmp_path: Path) -> None:
     seen = []
-    for life in range(4):
+    for boot in range(4):
         install(VFS)
         ledger = Ledger.open(tmp_path, "a", VFS, SMALL)
         seen.append((ledger.completeness, ledger.reason, len(ledger.records(RecordKind.LOAD))))
-        if life < 2:
-            ledger.put([load(life).to_record()])
+        if boot < 2:
+            ledger.put([load(boot).to_record()])
         else:
             ledger.mark_complete()
         ledger.close(True)
     assert seen == [
-        (Completeness.UNKNOWN, "nothing was here", 0),
-        (Completeness.UNKNOWN, "emptied not long ago", 1),
-        (Completeness.UNKNOWN, "emptied not long ago", 2),
+        (Completeness.UNKNOWN, "there was no ledger", 0),
+        (Completeness.UNKNOWN, "restarted empty less than one retention time ago", 1),
+        (Completeness.UNKNOWN, "restarted empty less than one retention time ago", 2),
         (Completeness.COMPLETE, "", 2),
     ]
 
 
-def test_a_clean_boot_whose_last_transactions_are_missing_is_unknown(tmp_path: Path) -> None:
-    """A log from before a clean end beside the life file from after it."""
+def test_the_content_is_unknown_if_transactions_of_a_clean_boot_are_missing(tmp_path: Path) -> None:
+    """A log from before a clean close, with the boot file from after it."""
     play = LedgerRun(tmp_path / "a")
     assert play.open() and play.send(1) and play.mark_complete()
     play.close(True)
@@ -202,7 +204,7 @@
 
 
 def test_a_folder_is_locked_by_one_process(tmp_path: Path) -> None:
-    """Here by the real files."""
+    """Uses the operating system's files."""
     settings = SMALL
     first = Ledger.open(tmp_path, "a", "", settings)
     with pytest.raises(StoreBusyError):
@@ -210,13 +212,13 @@
     second = Ledger.open(tmp_path, "b", "", settings)
     second.close(True)
     first.close(True)
-    again = Ledger.open(tmp_path, "a", "", settings)
-    assert (again.boot_count, again.closed_cleanly) == (2, True)
-    again.close(True)
+    reopened = Ledger.open(tmp_path, "a", "", settings)
+    assert (reopened.boot_count, reopened.closed_cleanly) == (2, True)
+    reopened.close(True)
 
 
 def test_the_log_stays_within_its_reserved_size(tmp_path: Path) -> None:
-    """Checkpoints keep it within, so that its size proves that it is whole."""
+    """Checkpoints prevent the log from growing, so that its size proves that it isn't truncated."""
     play = LedgerRun(tmp_path)
     assert play.open() and play.mark_complete()
     for number in range(200):
--- a/tests/store/test_faults.py
+++ b/tests/store/test_faults.py
@@ -1,5 +1,6 @@
-"""Each kind of fault at each operation of a ledger: nothing that was promised is lost, and once the fault has
-passed it works again."""
+"""Faults of each kind at each operation of a ledger: no record reported as durable is lost, and the ledger
+recovers when the fault is over.
+"""
 
 from __future__ import annotations
 
@@ -29,8 +30,8 @@
 PROMISE = b"promise"
 
 
-def kept_folder(folder: Path, clean: bool = False) -> LedgerRun:
-    """A folder with loads that may have run, and with a whole memory."""
+def make_folder_with_loads(folder: Path, clean: bool = False) -> LedgerRun:
+    """Return a run whose folder is complete and contains loads in state SENT."""
     play = LedgerRun(folder)
     assert play.open() and play.mark_complete()
     assert all(play.send(number) for number in range(LOADS))
@@ -42,7 +43,7 @@
 
 
 def open_with_one_failed_read(play: LedgerRun, count: int) -> StoreError | None:
-    """What opening tells where its `count`th read fails; None if it has fewer, or could do without."""
+    """Open with a failure of the `count`th read; return the error, or None if opening succeeds."""
     disk = install(VFS)
 
     def fail(read: int) -> None:
@@ -62,9 +63,9 @@
 def test_a_failed_read_at_the_start_loses_nothing(tmp_path: Path, clean: bool) -> None:
     failed = 0
     for count in range(1, 40):
-        play = kept_folder(tmp_path / str(count), clean)
+        play = make_folder_with_loads(tmp_path / str(count), clean)
         failed += open_with_one_failed_read(play, count) is not None
-        assert not list(play.folder.glob("*.broken")), f"read {count}: put aside without being damaged"
+        assert not list(play.folder.glob("*.broken")), f"read {count}: set aside without being damaged"
         assert play.open()
         assert play.ledger is not None and play.ledger.completeness is Completeness.COMPLETE
         assert play.ledger.records(RecordKind.LOAD).keys() == {
@@ -74,23 +75,23 @@
     assert failed > 5
 
 
-def test_a_failed_read_taken_for_damage_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_read_treated_as_damage_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(record_file, "DISK_ERRORS", ())
-    with pytest.raises(AssertionError, match="put aside"):
+    with pytest.raises(AssertionError, match="set aside"):
         test_a_failed_read_at_the_start_loses_nothing(tmp_path, True)
 
 
 @pytest.mark.parametrize(
     "error", [apsw.CantOpenError, apsw.NoMemError, apsw.FullError, apsw.BusyError, apsw.ReadOnlyError]
 )
-def test_a_system_without_room_or_handles_is_no_damage(
+def test_a_lack_of_system_resources_is_not_treated_as_damage(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: type[apsw.Error]
 ) -> None:
-    play = kept_folder(tmp_path)
+    play = make_folder_with_loads(tmp_path)
     install(VFS)
     with monkeypatch.context() as patched:
 
-        def refuse(_book: object, _what: str) -> object:
+        def refuse(_file: object, _what: str) -> object:
             raise error("planted")
 
         patched.setattr(record_file.RecordFile, "_pragma", refuse)
@@ -100,8 +101,8 @@
     play.close(True)
 
 
-def refuse_life(disk: Disk, stage: str) -> None:
-    """Each replacement of a whole file fails: before anything, or with its new name seen and not durable."""
+def fail_boot_file_replacements(disk: Disk, stage: str) -> None:
+    """Make each replacement of the boot file fail, at its beginning or after the rename ("moved")."""
 
     class Refusing(DiskFiles):
         def replace(self, path: Path, content: bytes) -> None:
@@ -115,100 +116,98 @@
     store_files.register_files(VFS, Refusing(disk))
 
 
-def books(folder: Path, disk: Disk) -> int:
+def count_record_files(folder: Path, disk: Disk) -> int:
     return len([name for name in DiskFiles(disk).names(folder) if name.endswith(".db")])
 
 
-def removed_first(disk: Disk) -> None:
-    """A file system that doesn't keep the order of names: removals got there, moves not yet."""
+def make_removals_durable(disk: Disk) -> None:
+    """Make removals durable before renames, as a file system that doesn't keep their order may do."""
     for node, to in disk.moves:
         if to is None:
             disk.make_move_durable(node, to)
 
 
-def open_often(play: LedgerRun, stage: str, seed: int) -> None:
-    """Ten tries, as the start does, then a power loss in which some of what was unsynced got there."""
+def open_repeatedly(play: LedgerRun, stage: str, seed: int) -> None:
+    """Try to open ten times, then lose power, with a random part of the unsynced writes on the disk."""
     disk = install(VFS)
-    refuse_life(disk, stage)
+    fail_boot_file_replacements(disk, stage)
     for _ in range(10):
         with pytest.raises(StoreError, match="planted"):
             Ledger.open(play.folder, "a", VFS, SMALL)
-        assert books(play.folder, disk) <= 2, "each try leaves a file"
+        assert count_record_files(play.folder, disk) <= 2, "each attempt leaves a file"
     disk.cut_power(random.Random(seed))
-    play.settled = True
+    play.is_marked_complete = True
     assert play.open()
-    assert books(play.folder, play.disk) == 1
+    assert count_record_files(play.folder, play.disk) == 1
     play.close(True)
 
 
 @pytest.mark.parametrize("stage", ["refused", "moved"])
 @pytest.mark.parametrize("seed", range(6))
-def test_a_start_that_fails_again_and_again_does_not_fill_the_disk(
-    tmp_path: Path, stage: str, seed: int
-) -> None:
-    open_often(kept_folder(tmp_path), stage, seed)
+def test_repeatedly_failing_starts_do_not_fill_the_disk(tmp_path: Path, stage: str, seed: int) -> None:
+    open_repeatedly(make_folder_with_loads(tmp_path), stage, seed)
 
 
-def test_leaving_a_file_with_each_try_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_file_left_by_each_attempt_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(LedgerFolder, "_make_generation_durable", lambda folder, boot_count: None)
-    with pytest.raises(AssertionError, match="each try leaves"):
-        open_often(kept_folder(tmp_path), "refused", 1)
+    with pytest.raises(AssertionError, match="each attempt leaves"):
+        open_repeatedly(make_folder_with_loads(tmp_path), "refused", 1)
 
 
-def cut_in_the_second_try(folder: Path, count: int) -> None:
-    """The power goes at its `count`th operation, and removals get there before the life file's move."""
-    play = kept_folder(folder)
+def lose_power_in_the_second_attempt(folder: Path, count: int) -> None:
+    """Lose power at the `count`th operation of the second attempt, with removals durable before renames."""
+    play = make_folder_with_loads(folder)
     disk = install(VFS)
-    refuse_life(disk, "moved")
+    fail_boot_file_replacements(disk, "moved")
     with pytest.raises(StoreError, match="planted"):
         Ledger.open(play.folder, "a", VFS, SMALL)
     start = disk.operations
 
     def before(operation: int, _what: str) -> None:
         if operation - start == count:
-            removed_first(disk)
+            make_removals_durable(disk)
             disk.cut_power()
 
     disk.before = before
     with pytest.raises(StoreError):
         Ledger.open(play.folder, "a", VFS, SMALL)
     disk.cut_power()
-    play.settled = True
+    play.is_marked_complete = True
     assert play.open()
     play.close(True)
 
 
-def test_what_counts_is_durable_before_anything_is_cleared_up(
+def test_the_boot_file_is_durable_before_old_files_are_removed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for count in range(1, 12):
-        cut_in_the_second_try(tmp_path / str(count), count)
+        lose_power_in_the_second_attempt(tmp_path / str(count), count)
     monkeypatch.setattr(
         LedgerFolder, "_make_generation_durable", lambda folder, boot_count: folder._remove_old_files()
     )
-    with pytest.raises(AssertionError, match="a cut isn't a loss"):
+    with pytest.raises(AssertionError, match="a power loss made it incomplete"):
         for count in range(1, 12):
-            cut_in_the_second_try(tmp_path / f"planted-{count}", count)
+            lose_power_in_the_second_attempt(tmp_path / f"planted-{count}", count)
 
 
 @pytest.mark.parametrize("stage", ["refused", "moved"])
-def test_a_ledger_that_can_t_be_written_anew_does_not_fill_the_disk(tmp_path: Path, stage: str) -> None:
+def test_failing_rewrites_do_not_fill_the_disk(tmp_path: Path, stage: str) -> None:
     play = LedgerRun(tmp_path)
     assert play.open() and play.mark_complete() and play.send(1)
     assert play.ledger is not None
     ledger = play.ledger
-    refuse_life(play.disk, stage)
+    fail_boot_file_replacements(play.disk, stage)
     ledger.folder.files = store_files.files_of(VFS)
     ledger._set_state(DiskState.FAILED, "planted")
     for _ in range(10):
         ledger._recover(DiskState.FAILED)
-        assert books(play.folder, play.disk) <= 2
+        assert count_record_files(play.folder, play.disk) <= 2
     assert not play.send(2)
     ledger.folder.files = DiskFiles(play.disk)
     ledger._recover(DiskState.FAILED)
     assert play.send(3)
     play.cut_power()
-    assert play.open() and books(play.folder, play.disk) == 1
+    assert play.open() and count_record_files(play.folder, play.disk) == 1
     play.close(True)
 
 
@@ -225,7 +224,7 @@
 
 
 class Faults:
-    """Fails operations of one kind ("write", "sync" or "names") until it is told to stop, or once."""
+    """Makes operations of one kind ("write", "sync" or "names") fail, once or while `on` is set."""
 
     def __init__(self, disk: Disk, code: int, what: str, once: bool) -> None:
         self.code, self.what, self.once, self.on, self.met = code, what, once, True, 0
@@ -238,8 +237,8 @@
             raise OSError(self.code, errno.errorcode[self.code])
 
 
-def well_again(play: LedgerRun) -> None:
-    """It works without a restart, and keeps what it then says."""
+def check_recovery(play: LedgerRun) -> None:
+    """Check that the ledger recovers without a restart and writes again."""
     play.wait_until_healthy()
     assert play.send(60)
 
@@ -249,73 +248,73 @@
 @pytest.mark.parametrize("code", ERRORS, ids=[errno.errorcode[code] for code in ERRORS])
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_record_on_a_disk_that_fails(tmp_path: Path, kind: str, code: int, what: str, once: bool) -> None:
-    """Told as not kept; what was before stands, it works again by itself, and a kill then loses nothing."""
+    """The write is reported as failed, and the ledger recovers; a power loss then loses nothing."""
     which, key, old, new = KINDS[kind]
     play = LedgerRun(tmp_path)
     assert play.open() and play.mark_complete() and play.put([Record(which, key, old)])
     faults = Faults(play.disk, code, what, once)
     assert not play.put([Record(which, key, new)]) and faults.met
     if not once:
-        assert not play.send(61), "refused while it lasts"
+        assert not play.send(61), "writes must be rejected while the fault lasts"
         assert play.ledger is not None and play.ledger.health(0.0).state in (DiskState.FULL, DiskState.FAILED)
     faults.on = False
-    well_again(play)
+    check_recovery(play)
     play.cut_power()
     assert play.open() and play.ledger is not None
     assert play.ledger.records(which)[key] in (old, new)
     play.close(True)
 
 
-def killed_while_written(folder: Path, kind: str, seed: int, plant: Callable[[], None]) -> None:
-    """At each operation of its write; the old value or the new one, whole, and all others."""
+def lose_power_while_writing(folder: Path, kind: str, seed: int, install_defect: Callable[[], None]) -> None:
+    """Lose power at each operation of a write; the record has the old or the new value afterwards."""
     which, key, old, new = KINDS[kind]
     for count in range(1, 9):
         play = LedgerRun(folder / str(count))
         assert play.open() and play.mark_complete() and play.send(1) and play.put([Record(which, key, old)])
-        plant()
+        install_defect()
         play.cut_power_at(count, random.Random(seed))
-        kept = play.put([Record(which, key, new)])
+        is_durable = play.put([Record(which, key, new)])
         play.cut_power()
         assert play.open() and play.ledger is not None
-        assert play.ledger.records(which).get(key) in ((new,) if kept else (old, new))
+        assert play.ledger.records(which).get(key) in ((new,) if is_durable else (old, new))
         play.close(True)
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_record_that_a_kill_leaves_half_written(tmp_path: Path, kind: str, seed: int) -> None:
-    killed_while_written(tmp_path, kind, seed, lambda: None)
+def test_a_record_whose_write_a_power_loss_interrupts(tmp_path: Path, kind: str, seed: int) -> None:
+    lose_power_while_writing(tmp_path, kind, seed, lambda: None)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_record_on_a_disk_that_hangs(tmp_path: Path, kind: str) -> None:
-    """Others are refused at once meanwhile; it is told as kept once it is."""
+    """Other writes are rejected immediately; the hanging one is reported as durable when it is."""
     which, key, old, new = KINDS[kind]
-    now, told = [0.0], list[bool]()
+    now, results = [0.0], list[bool]()
     disk = install(VFS)
     ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall_timeout_ms=100.0), lambda: now[0])
     disk.orders = Orders(stall=True)
-    through = threading.Event()
-    ledger.put([Record(which, key, new)], lambda well: through.set() if well else None)
+    is_written = threading.Event()
+    ledger.put([Record(which, key, new)], lambda is_ok: is_written.set() if is_ok else None)
     now[0] = 101.0
-    ledger.put([load(9).to_record()], told.append)
-    assert told == [False] and not through.is_set()
+    ledger.put([load(9).to_record()], results.append)
+    assert results == [False] and not is_written.is_set()
     disk.orders = Orders()
-    assert through.wait(20.0)
+    assert is_written.wait(20.0)
     disk.cut_power()
     ledger.close(False)
     install(VFS)
-    again = Ledger.open(tmp_path, "a", VFS, SMALL)
-    assert again.records(which)[key] == new
-    again.close(False)
+    reopened = Ledger.open(tmp_path, "a", VFS, SMALL)
+    assert reopened.records(which)[key] == new
+    reopened.close(False)
 
 
 @pytest.mark.parametrize("code", ERRORS, ids=[errno.errorcode[code] for code in ERRORS])
 @pytest.mark.parametrize("what", ["write", "sync", "names"])
 @pytest.mark.parametrize("after", range(4))
 def test_a_start_on_a_disk_that_fails(tmp_path: Path, code: int, what: str, after: int) -> None:
-    """One clear error, or it can do without; then it opens with all that was promised, and a higher boot."""
-    play = kept_folder(tmp_path)
+    """Opening succeeds or raises one clear error; later it succeeds with all durable records."""
+    play = make_folder_with_loads(tmp_path)
     disk = install(VFS)
     faults = Faults(disk, code, what, False)
     passed = [0]
@@ -332,30 +331,32 @@
         assert str(play.folder) in str(error) and "\n" not in str(error)
         assert error.records[RecordKind.LOAD].keys() == {load(number).identity for number in range(LOADS)}
     faults.on = False
-    play.disk, play.settled = disk, True
+    play.disk, play.is_marked_complete = disk, True
     assert play.reopen() and not list(play.folder.glob("*.broken"))
     play.cut_power()
     assert play.open()
     play.close(True)
 
 
-def test_a_failure_told_as_kept_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_write_reported_as_durable_is_detected(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     commit = Ledger._commit
     monkeypatch.setattr(Ledger, "_commit", lambda ledger, group: failed_sync_is_done(ledger, group, commit))
     with pytest.raises(AssertionError):
         test_a_record_on_a_disk_that_fails(tmp_path, "pin", errno.EIO, "sync", True)
 
 
-def test_a_record_told_as_kept_before_it_is_is_caught(
+def test_a_record_reported_before_it_is_durable_is_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     commit = Ledger._commit
 
-    def told_early(ledger: Ledger, group: list[Any]) -> bool:
+    def report_early(ledger: Ledger, group: list[Any]) -> bool:
         return done_before_sync(ledger, group, commit)
 
-    def plant() -> None:
-        monkeypatch.setattr(Ledger, "_commit", told_early)
+    def install_defect() -> None:
+        monkeypatch.setattr(Ledger, "_commit", report_early)
 
     with pytest.raises(AssertionError):
-        killed_while_written(tmp_path, "pin", 1, plant)
+        lose_power_while_writing(tmp_path, "pin", 1, install_defect)
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -1,5 +1,4 @@
-"""A full, failing or stalled disk: writes are refused at once with a reason, and taken again when it is
-well."""
+"""A ledger on a full, failing or stalled disk: writes are rejected immediately until the disk recovers."""
 
 from __future__ import annotations
 
@@ -51,10 +50,10 @@
 
 
 def test_a_full_disk_is_detected_by_a_checkpoint(play: LedgerRun) -> None:
-    """The log was filled up before, so what is promised fits; the file's growth doesn't."""
+    """Commits succeed, since the log already has its size; the checkpoint that extends the file fails."""
     play.disk.orders = Orders(room=0)
-    taken = [play.send(number) for number in range(2, 40)]
-    assert True in taken and False in taken and taken == sorted(taken, reverse=True)
+    accepted = [play.send(number) for number in range(2, 40)]
+    assert True in accepted and False in accepted and accepted == sorted(accepted, reverse=True)
     assert disk_state(play) is DiskState.FULL
     play.disk.orders = Orders()
     play.wait_until_healthy()
@@ -63,22 +62,22 @@
     assert play.open()
 
 
-def test_a_stalled_disk_refuses_writes_at_once_and_recovers(tmp_path: Path) -> None:
+def test_a_stalled_disk_rejects_writes_immediately_and_recovers(tmp_path: Path) -> None:
     now = [0.0]
     disk = install(VFS)
     ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall_timeout_ms=100.0), lambda: now[0])
     disk.orders = Orders(stall=True)
-    late, refused = threading.Event(), []
-    ledger.put([load(1).to_record()], lambda well: late.set() if well else None)
+    is_written, refused = threading.Event(), []
+    ledger.put([load(1).to_record()], lambda is_ok: is_written.set() if is_ok else None)
     assert ledger.health(50.0).state is DiskState.HEALTHY
     now[0] = 101.0
     assert ledger.health(now[0]).state is DiskState.STALLED
     caller = threading.get_ident()
-    ledger.put([load(2).to_record()], lambda well: refused.append((well, threading.get_ident())))
-    assert refused == [(False, caller)], "nobody waits for a disk that stalls"
-    assert not late.is_set()
+    ledger.put([load(2).to_record()], lambda is_ok: refused.append((is_ok, threading.get_ident())))
+    assert refused == [(False, caller)], "no caller must wait for a stalled disk"
+    assert not is_written.is_set()
     disk.orders = Orders()
-    assert late.wait(20.0)
+    assert is_written.wait(20.0)
     assert ledger.health(now[0]).state is DiskState.HEALTHY
     ledger.close(True)
 
@@ -87,14 +86,14 @@
     disk = install(VFS)
     ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, max_queued_records=8))
     disk.orders = Orders(stall=True)
-    told: list[bool] = []
+    results: list[bool] = []
     for number in range(40):
-        ledger.put([load(number).to_record()], told.append)
-    assert told.count(False) == len(told) and 40 - 8 - SMALL.max_group_records <= len(told) <= 40 - 8
-    refused = len(told)
+        ledger.put([load(number).to_record()], results.append)
+    assert results.count(False) == len(results) and 40 - 8 - SMALL.max_group_records <= len(results) <= 40 - 8
+    refused = len(results)
     disk.orders = Orders()
     ledger.close(True)
-    assert told.count(True) == 40 - refused, "each is answered once"
+    assert results.count(True) == 40 - refused, "each is answered once"
 
 
 def test_queued_writes_are_one_transaction(tmp_path: Path) -> None:
@@ -105,31 +104,31 @@
     syncs: list[str] = []
     disk.before = lambda _count, what: syncs.append(what) if what == "sync" else None
     disk.orders = Orders(stall=True)
-    told: list[bool] = []
+    results: list[bool] = []
     for number in range(50):
-        ledger.put([load(number).to_record()], told.append)
+        ledger.put([load(number).to_record()], results.append)
     disk.orders = Orders()
     ledger.close(False)
-    assert told == [True] * 50 and len(syncs) <= 3
+    assert results == [True] * 50 and len(syncs) <= 3
 
 
 def test_after_the_close_writes_are_refused(play: LedgerRun) -> None:
     assert play.ledger is not None
     ledger = play.ledger
-    told: list[bool] = []
+    results: list[bool] = []
     play.close(True)
-    ledger.put([load(9).to_record()], told.append)
-    assert told == [False]
+    ledger.put([load(9).to_record()], results.append)
+    assert results == [False]
 
 
 @pytest.mark.parametrize("last", ["checkpoint", "life file"])
 def test_a_disk_that_hangs_at_the_close_does_not_delay_the_exit(tmp_path: Path, last: str) -> None:
-    """The next life takes this one for cut off, with all that was promised."""
+    """The next boot assumes that this one was interrupted, and has all durable records."""
     disk = install(VFS)
     ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall_timeout_ms=50.0))
-    told = threading.Event()
-    ledger.put([COMPLETE_MARK, load(1).to_record()], lambda well: told.set() if well else None)
-    assert told.wait(20.0)
+    is_durable = threading.Event()
+    ledger.put([COMPLETE_MARK, load(1).to_record()], lambda is_ok: is_durable.set() if is_ok else None)
+    assert is_durable.wait(20.0)
     syncs, hangs = [0], threading.Event()
 
     def hang(_count: int, what: str) -> None:
@@ -147,7 +146,7 @@
     ledger._thread.join(20.0)
     ledger.folder.close()
     play = LedgerRun(tmp_path)
-    play.may_be_settled = True
+    play.may_be_complete = True
     assert play.open() and play.ledger is not None
     assert not play.ledger.closed_cleanly and load(1).identity in play.ledger.records(RecordKind.LOAD)
     assert play.ledger.completeness is Completeness.COMPLETE
@@ -155,20 +154,20 @@
 
 
 @pytest.mark.parametrize("orders", [Orders(full=True), Orders(fail_sync=1), Orders(fail_write=1)])
-def test_a_boot_that_can_not_be_counted_is_an_error(play: LedgerRun, orders: Orders) -> None:
+def test_a_boot_count_that_can_not_be_written_is_an_error(play: LedgerRun, orders: Orders) -> None:
     play.cut_power()
     before = sorted(path.name for path in play.folder.iterdir())
     install(VFS).orders = orders
-    with pytest.raises(StoreError) as told:
+    with pytest.raises(StoreError) as caught:
         Ledger.open(play.folder, "a", VFS, SMALL)
     assert (
-        told.value.completeness is Completeness.COMPLETE
-        and load(1).identity in told.value.records[RecordKind.LOAD]
+        caught.value.completeness is Completeness.COMPLETE
+        and load(1).identity in caught.value.records[RecordKind.LOAD]
     )
     assert sorted(path.name for path in play.folder.iterdir()) == before, (
-        "nothing half is left on a full disk"
+        "no partial file must remain on a full disk"
     )
-    assert play.open(), "and nothing was lost by it"
+    assert play.open(), "the folder must still be usable"
 
 
 def test_records_of_an_unknown_kind_survive_a_rewrite(play: LedgerRun) -> None:
@@ -176,7 +175,7 @@
     later = Record(RecordKind.OPERATOR_OVERRIDE, b"later", b"\x09")
     assert play.put([later])
     rows = play.ledger.folder.record_file.rows
-    rows[99, b"unknown kind"] = b"value"  # As a later program's transaction would have left it.
+    rows[99, b"unknown kind"] = b"value"  # as a later version of the program would have written it
     play.disk.orders = Orders(fail_sync=1)
     assert not play.send(2)
     play.disk.orders = Orders()
@@ -200,9 +199,9 @@
 install("killed", control)
 ledger = Ledger.open(folder, "a", "killed", SMALL)
 def put(records):
-    told = threading.Event()
-    ledger.put(records, lambda well: well and told.set())
-    told.wait()
+    is_durable = threading.Event()
+    ledger.put(records, lambda is_ok: is_ok and is_durable.set())
+    is_durable.wait()
 put([COMPLETE_MARK])
 for number in range(200):
     if defect == "after":
@@ -215,7 +214,7 @@
 
 @pytest.mark.parametrize("defect", ["", "after"])
 def test_a_killed_process_loses_nothing_reported_as_written(tmp_path: Path, defect: str) -> None:
-    """`after`, the plant: it tells before it is told."""
+    """With the defect `after`, the child reports a load as written before it is durable."""
     control = tmp_path / "control.json"
     control.write_text(json.dumps({"leak": 0.3, "seed": 5, "stall_ms": 1 if defect else 0}))
     arguments = [sys.executable, "-c", CHILD, str(tmp_path / "folder"), str(control), defect]
@@ -227,8 +226,8 @@
         os.kill(child.pid, signal.SIGKILL)
         sent = 60 + len(child.stdout.read().split())
     ledger = Ledger.open(tmp_path / "folder", "a", "", SMALL)
-    kept = ledger.records(RecordKind.LOAD)
-    missing = [number for number in range(sent + 1) if load(number).identity not in kept]
+    records = ledger.records(RecordKind.LOAD)
+    missing = [number for number in range(sent + 1) if load(number).identity not in records]
     assert ledger.completeness is Completeness.COMPLETE and bool(missing) == bool(defect)
-    assert all(LoadRecord.decode(key, value).is_open for key, value in kept.items())
+    assert all(LoadRecord.decode(key, value).is_open for key, value in records.items())
     ledger.close(False)
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -1,4 +1,4 @@
-"""Forms of values, and when records are forgotten."""
+"""Encoding, decoding and eviction of records."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from cottonhold.store.records import (
     MAX_RECORDS,
-    REASONS,
     TRUST_BY_KIND,
+    TRUST_REASONS,
     Hint,
     IncarnationRecord,
     LoadRecord,
@@ -65,13 +65,13 @@
 def test_incarnations_and_hints_decode_to_the_same() -> None:
     assert IncarnationRecord.decode(IncarnationRecord(3, 9, True).encode()) == IncarnationRecord(3, 9, True)
     assert Hint.decode(Hint(b"10.0.0.1", 250.0).encode()) == Hint(b"10.0.0.1", 250.0)
-    for bad in (b"", b"\x01", Hint(b"", float("nan")).encode(), Hint(b"", -1.0).encode()):
+    for corrupt in (b"", b"\x01", Hint(b"", float("nan")).encode(), Hint(b"", -1.0).encode()):
         with pytest.raises(RecordError):
-            Hint.decode(bad)
+            Hint.decode(corrupt)
 
 
 def test_each_kind_has_a_trust_a_reason_and_a_bound() -> None:
-    assert set(TRUST_BY_KIND) == set(REASONS) == set(MAX_RECORDS) == set(RecordKind)
+    assert set(TRUST_BY_KIND) == set(TRUST_REASONS) == set(MAX_RECORDS) == set(RecordKind)
     assert {kind for kind in RecordKind if TRUST_BY_KIND[kind] is Trust.AUTHORITATIVE} == {
         RecordKind.INCARNATION,
         RecordKind.LOAD,
@@ -81,64 +81,68 @@
     }
 
 
-BOOT, START, HOLD = 5, 1_000.0, 500.0
+BOOT_COUNT, START_MS, RETENTION_MS = 5, 1_000.0, 500.0
 
 
-def make_load(number: int, state: LoadState, boot: int = BOOT, ended: float = 0.0) -> LoadRecord:
-    return LoadRecord(bytes([number]) * 16, "", "", b"", "", boot, 0.0, state, ended)
+def make_load(number: int, state: LoadState, boot_count: int = BOOT_COUNT, ended: float = 0.0) -> LoadRecord:
+    return LoadRecord(bytes([number]) * 16, "", "", b"", "", boot_count, 0.0, state, ended)
 
 
 @pytest.mark.parametrize(
-    ("load", "now", "gone"),
+    ("load", "now", "is_evicted"),
     [
         (make_load(1, LoadState.COMPLETED, ended=1_200.0), 1_700.0, False),
         (make_load(1, LoadState.COMPLETED, ended=1_200.0), 1_700.1, True),
         (make_load(1, LoadState.SENT), 1e9, False),
-        # Of an earlier boot: its times, however large or small, say nothing.
-        (make_load(1, LoadState.SENT, BOOT - 1), START + HOLD, False),
-        (make_load(1, LoadState.SENT, BOOT - 1), START + HOLD + 0.1, True),
-        (make_load(1, LoadState.COMPLETED, BOOT - 1, ended=-1e9), START + HOLD, False),
-        (make_load(1, LoadState.COMPLETED, BOOT - 1, ended=1e9), START + HOLD + 0.1, True),
-        # A boot number above this one's comes from a folder put back: it's another boot all the same.
-        (make_load(1, LoadState.COMPLETED, BOOT + 1, ended=1e9), START + HOLD + 0.1, True),
+        # A load of an earlier boot: its times are ignored.
+        (make_load(1, LoadState.SENT, BOOT_COUNT - 1), START_MS + RETENTION_MS, False),
+        (make_load(1, LoadState.SENT, BOOT_COUNT - 1), START_MS + RETENTION_MS + 0.1, True),
+        (make_load(1, LoadState.COMPLETED, BOOT_COUNT - 1, ended=-1e9), START_MS + RETENTION_MS, False),
+        (make_load(1, LoadState.COMPLETED, BOOT_COUNT - 1, ended=1e9), START_MS + RETENTION_MS + 0.1, True),
+        # A higher boot count, from a folder that was replaced by an older copy, is another boot as well.
+        (make_load(1, LoadState.COMPLETED, BOOT_COUNT + 1, ended=1e9), START_MS + RETENTION_MS + 0.1, True),
     ],
 )
-def test_a_load_is_evicted_one_retention_after_its_end(load: LoadRecord, now: float, gone: bool) -> None:
-    decided = evict_loads([load], now_ms=now, boot_count=BOOT, boot_started_at_ms=START, retention_ms=HOLD)
+def test_a_load_is_evicted_one_retention_after_its_end(
+    load: LoadRecord, now: float, is_evicted: bool
+) -> None:
+    eviction = evict_loads(
+        [load], now_ms=now, boot_count=BOOT_COUNT, boot_started_at_ms=START_MS, retention_ms=RETENTION_MS
+    )
     assert (
-        decided.keys == ((load.identity,) if gone else ())
-        and not decided.is_full
-        and decided.early_count == 0
+        eviction.keys == ((load.identity,) if is_evicted else ())
+        and not eviction.is_full
+        and eviction.early_count == 0
     )
 
 
-def test_to_make_room_loads_go_by_their_end_and_open_ones_never() -> None:
-    kept = [
+def test_early_eviction_is_by_the_end_and_never_of_open_loads() -> None:
+    loads = [
         make_load(1, LoadState.SENT),
         make_load(2, LoadState.COMPLETED, ended=1_300.0),
         make_load(3, LoadState.FAILED, ended=1_200.0),
-        make_load(4, LoadState.SENT, BOOT - 1),
-        make_load(5, LoadState.NEVER_SENT, BOOT - 1, ended=1_400.0),
+        make_load(4, LoadState.SENT, BOOT_COUNT - 1),
+        make_load(5, LoadState.NEVER_SENT, BOOT_COUNT - 1, ended=1_400.0),
     ]
 
-    def keys(most: int, room: int = 1) -> tuple[list[int], int, bool]:
-        decided = evict_loads(
-            kept,
-            now_ms=START,
-            boot_count=BOOT,
-            boot_started_at_ms=START,
-            retention_ms=HOLD,
-            max_records=most,
-            free_slots=room,
+    def keys(max_records: int, free_slots: int = 1) -> tuple[list[int], int, bool]:
+        eviction = evict_loads(
+            loads,
+            now_ms=START_MS,
+            boot_count=BOOT_COUNT,
+            boot_started_at_ms=START_MS,
+            retention_ms=RETENTION_MS,
+            max_records=max_records,
+            free_slots=free_slots,
         )
-        return [key[0] for key in decided.keys], decided.early_count, decided.is_full
+        return [key[0] for key in eviction.keys], eviction.early_count, eviction.is_full
 
     assert keys(6) == ([], 0, False)
     assert keys(5) == ([5], 1, False)
     assert keys(4) == ([5, 3], 2, False)
     assert keys(3) == ([5, 3, 2], 3, False)
     assert keys(2) == ([5, 3, 2], 3, True)
-    assert keys(5, room=4) == ([5, 3, 2], 3, True)
+    assert keys(5, free_slots=4) == ([5, 3, 2], 3, True)
 
 
 DISTINCT = st.lists(LOADS, max_size=12, unique_by=lambda load: load.identity)
@@ -146,20 +150,20 @@
 
 @given(DISTINCT, st.integers(0, 15), st.integers(0, 5), st.floats(0, 1e6))
 def test_an_open_load_within_its_retention_is_never_evicted(
-    kept: list[LoadRecord], most: int, room: int, now: float
+    loads: list[LoadRecord], max_records: int, free_slots: int, now: float
 ) -> None:
-    decided = evict_loads(
-        kept,
+    eviction = evict_loads(
+        loads,
         now_ms=now,
-        boot_count=BOOT,
+        boot_count=BOOT_COUNT,
         boot_started_at_ms=now,
-        retention_ms=HOLD,
-        max_records=most,
-        free_slots=room,
+        retention_ms=RETENTION_MS,
+        max_records=max_records,
+        free_slots=free_slots,
     )
-    assert not set(decided.keys) & {load.identity for load in kept if load.is_open}
-    left = len(kept) - len(decided.keys)
-    assert left + room <= most or decided.is_full
+    assert not set(eviction.keys) & {load.identity for load in loads if load.is_open}
+    remaining = len(loads) - len(eviction.keys)
+    assert remaining + free_slots <= max_records or eviction.is_full
 
 
 def test_hints_are_evicted_by_age_and_authoritative_records_never() -> None:
@@ -168,5 +172,5 @@
     assert evict_records(RecordKind.ENGINE_RATE, ages, max_records=2).keys == (b"b", b"c")
     assert evict_records(RecordKind.ENGINE_RATE, ages, max_records=0).keys == ()
     for kind in (RecordKind.PROMISE, RecordKind.OPERATOR_OVERRIDE, RecordKind.AFFINITY):
-        decided = evict_records(kind, ages, max_records=3)
-        assert decided.keys == () and decided.is_full
+        eviction = evict_records(kind, ages, max_records=3)
+        assert eviction.keys == () and eviction.is_full
