--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -185,11 +185,11 @@
         await start_serving(site, "e1", "e2", "e3")
         assert b"e" in await site.query(1)
         site.script("0 critical e1\n0 maintenance e2 on")
-        await site.until(lambda: site.live() == ["e3"], "two out")
+        await site.until(lambda: site.live() == ["e3"], "two engines out of service")
         for ref in range(2, 12):
             assert b"e3" in await site.query(ref)
         site.script("0 passing e1\n0 maintenance e2 off\n0 deregister e3")
-        await site.until(lambda: site.live() == ["e1", "e2"], "two back and one gone")
+        await site.until(lambda: site.live() == ["e1", "e2"], "two engines back, one removed")
         # The engine is cold, since nothing proves that it is the same process.
         assert site.node.engines.endpoints["e1"].engine.started_at > 0
 
@@ -217,7 +217,7 @@
         answered = len(server.calls)
         site.script(f"0 fault {fault}\n0 critical e4")
         await site.until(
-            lambda: len(server.calls) > answered + 1 or "hang" in fault or "drip" in fault, "asked again"
+            lambda: len(server.calls) > answered + 1 or "hang" in fault or "drip" in fault, "another request"
         )
         for ref in range(5):
             assert b"e" in await site.query(ref)
@@ -234,7 +234,7 @@
             await site.servers[1].start(
                 "127.0.0.1", site.node.installation.consul_sources[0].watch_settings.addresses[0].port
             )
-        await site.until(lambda: site.live() == ["e1", "e2", "e3"], "the news after the fault")
+        await site.until(lambda: site.live() == ["e1", "e2", "e3"], "the change after the fault")
 
     run_scenario(tmp_path, scenario)
 
@@ -246,7 +246,7 @@
         site.script(f"0 fault {fault}\n0 critical e1")
         await site.until(lambda: site.live() == ["e2", "e3"], "the change")
         site.script("0 passing e1")
-        await site.until(lambda: len(site.live()) == 3, "the return")
+        await site.until(lambda: len(site.live()) == 3, "the engine back in service")
 
     run_scenario(tmp_path, scenario)
 
@@ -255,7 +255,7 @@
     async def scenario(site: Site) -> None:
         await start_serving(site, "e1", "e2", "e3", "e4")
         site.script("\n".join(f"0 critical e{i}" for i in (1, 2, 3, 4)))
-        await site.until(lambda: site.events("engine_losses_held"), "the floor")
+        await site.until(lambda: site.events("engine_losses_held"), "the deferred losses")
         assert len(site.live()) >= 2 and b"e" in await site.query(1)
 
     run_scenario(tmp_path, scenario)
@@ -270,10 +270,10 @@
         await site.until(lambda: len(site.live()) == 3, "all engines known")
         for _ in range(10):
             site.script("0 critical e1")
-            await site.until(lambda: site.states()["e1"] is DRAINING, "out at once")
+            await site.until(lambda: site.states()["e1"] is DRAINING, "out of service immediately")
             site.script("0 passing e1")
             index = site.servers[0].catalog.service_index("engine")
-            await site.until(lambda at=index: site.node.engine_catalog.views["dc1"].index >= at, "the news")  # type: ignore[misc]
+            await site.until(lambda at=index: site.node.engine_catalog.views["dc1"].index >= at, "the change")  # type: ignore[misc]
         assert len(site.events("engine_in_service")) <= 3
 
     run_scenario(tmp_path, scenario)
@@ -323,11 +323,11 @@
         await site.start(*sources)
         await site.until(lambda: len(site.live()) == 4, "both lists")
         site.script("0 critical e2", server=1)
-        await site.until(lambda: site.live() == ["e1", "e3", "e4"], "the cautious word")
+        await site.until(lambda: site.live() == ["e1", "e3", "e4"], "the more cautious claim")
         site.script("0 deregister e3", server=0)
         await site.until(
             lambda: "e3" in site.live() and "e3" not in site.node.engine_catalog.views["dc0"].claims,
-            "the other's word",
+            "the claim of the other source",
         )
 
     run_scenario(tmp_path, scenario)
@@ -338,7 +338,7 @@
         address = await site.engine("e1")
         await site.start({**SOURCE, "addresses": ["127.0.0.1:1"]}, known=[{"id": "e1", "address": address}])
         assert b"e1" in await site.query(1)
-        await site.until(lambda: site.events("source_lost"), "the log line")
+        await site.until(lambda: site.events("source_lost"), "the logged loss of the source")
         assert "known_engines=1" in site.events("source_lost")[0]
         site.node._log_silent_sources()
         assert "known_engines=1" in site.events("source_silent")[0]
@@ -356,7 +356,7 @@
         ]
         await site.start({**SOURCE, "addresses": [address]}, known=known)
         assert site.live() == ["e1", "e2", "e9"]
-        await site.until(lambda: site.live() == ["e1", "e2"], "Consul's own list")
+        await site.until(lambda: site.live() == ["e1", "e2"], "the list from Consul")
         # The engines were known before, so they aren't cold.
         assert {p.engine.started_at for p in site.node.engines.endpoints.values()} == {0.0}
 
@@ -369,7 +369,7 @@
         await site.engines_in(0, "e1")
         known = [{"id": f"old{i}", "address": f"127.0.0.1:{i + 3}"} for i in range(4)]
         await site.start({**SOURCE, "addresses": [address]}, known=known)
-        await site.until(lambda: site.live() == ["e1"], "the floor gives way to a consistent reading")
+        await site.until(lambda: site.live() == ["e1"], "the absence confirmed by a consistent read")
         assert any("/v1/catalog/service/engine?consistent" in url for _, _, url in site.servers[0].calls)
 
     run_scenario(tmp_path, scenario)
@@ -397,9 +397,9 @@
         await site.until(lambda: len(site.live()) == 2, "both engines")
         await site.servers[0].stop()
         site.script("0 critical e1", server=1)
-        await site.until(lambda: site.live() == ["e2"], "news by the second agent")
+        await site.until(lambda: site.live() == ["e2"], "the change from the second agent")
         await site.servers[1].stop()
-        await site.until(lambda: site.node.counters.counts["consul_failures"] > 8, "many tries")
+        await site.until(lambda: site.node.counters.counts["consul_failures"] > 8, "many attempts")
         assert site.live() == ["e2"] and b"e2" in await site.query(1)
 
     run_scenario(tmp_path, scenario)
@@ -415,7 +415,7 @@
         await site.until(lambda: len(site.live()) == 2, "both engines")
         site.servers[0].token = "second-token"
         site.script("0 critical e1")  # completes the blocking query, whose answer may still be accepted
-        await site.until(lambda: site.events("source_lost"), "the refusal")
+        await site.until(lambda: site.events("source_lost"), "the rejected token")
         assert "status 403" in site.log.getvalue() and site.live()
         (tmp_path / "token").write_text("second-token")
         site.node.reload()
@@ -441,7 +441,7 @@
         site.write(sources, number=0, dispatchers=2)
         site.node.reload()
         assert "restart_needed_for=dispatchers" in site.events("config_reloaded")[0]
-        await site.until(lambda: len(site.live()) == 4, "the second source beside it")
+        await site.until(lambda: len(site.live()) == 4, "the engines of both sources")
         site.write(sources[1:])
         site.node.reload()
         assert site.live() == ["e3", "e4"]
@@ -467,7 +467,7 @@
             ]
         )
         site.node.reload()
-        await site.until(lambda: site.events("source_lost"), "the refusal")
+        await site.until(lambda: site.events("source_lost"), "the rejected token")
         assert "more than 1000000 bytes" in site.events("source_lost")[0] and len(site.live()) == 202
 
     run_scenario(tmp_path, scenario)
@@ -500,7 +500,7 @@
             [{**SOURCE, "addresses": [address], "tls": {"ca_file": "ca.pem", "server_name": "other.test"}}]
         )
         site.node.reload()
-        await site.until(lambda: site.events("source_lost"), "a server under another name")
+        await site.until(lambda: site.events("source_lost"), "the certificate of another name rejected")
         assert "ertificate" in site.events("source_lost")[0] and site.live() == ["e2"]
 
     run_scenario(tmp_path, scenario)
@@ -519,7 +519,7 @@
 
         await site.until(there, "registered")
         catalog.remove_service("agent-1", "n1")
-        await site.until(there, "registered anew")
+        await site.until(there, "registered again")
         leaving: list[Awaitable[object]] = list(site.node.shutdown_tasks())
         await asyncio.gather(*leaving)
         assert (
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -195,7 +195,7 @@
     restart_after_a_failed_sync(LedgerRun(tmp_path / "right", settings))
     monkeypatch.setattr(ledger_folder, "_was_closed_cleanly", lambda boot_file: boot_file is not None)
     with pytest.raises(AssertionError, match=LOSS_ERROR):
-        restart_after_a_failed_sync(LedgerRun(tmp_path / "planted", settings))
+        restart_after_a_failed_sync(LedgerRun(tmp_path / "with-defect", settings))
 
 
 def test_a_disk_that_ignores_syncs_is_detected(tmp_path: Path) -> None:
--- a/tests/store/test_faults.py
+++ b/tests/store/test_faults.py
@@ -48,7 +48,7 @@
 
     def fail(read: int) -> None:
         if read == count:
-            raise OSError(errno.EIO, "planted")
+            raise OSError(errno.EIO, "injected")
 
     disk.before_read = fail
     try:
@@ -92,10 +92,10 @@
     with monkeypatch.context() as patched:
 
         def refuse(_file: object, _what: str) -> object:
-            raise error("planted")
+            raise error("injected")
 
         patched.setattr(record_file.RecordFile, "_pragma", refuse)
-        with pytest.raises(StoreError, match="planted"):
+        with pytest.raises(StoreError, match="injected"):
             Ledger.open(play.folder, "a", VFS, SMALL)
     assert play.open() and not list(play.folder.glob("*.broken"))
     play.close(True)
@@ -111,7 +111,7 @@
                 self.append(new, content, truncate=True)
                 self.sync(new)
                 self.move(new, path)
-            raise OSError(errno.EIO, "planted")
+            raise OSError(errno.EIO, "injected")
 
     store_files.register_files(VFS, Refusing(disk))
 
@@ -132,7 +132,7 @@
     disk = install(VFS)
     fail_boot_file_replacements(disk, stage)
     for _ in range(10):
-        with pytest.raises(StoreError, match="planted"):
+        with pytest.raises(StoreError, match="injected"):
             Ledger.open(play.folder, "a", VFS, SMALL)
         assert count_record_files(play.folder, disk) <= 2, "each attempt leaves a file"
     disk.cut_power(random.Random(seed))
@@ -159,7 +159,7 @@
     play = make_folder_with_loads(folder)
     disk = install(VFS)
     fail_boot_file_replacements(disk, "moved")
-    with pytest.raises(StoreError, match="planted"):
+    with pytest.raises(StoreError, match="injected"):
         Ledger.open(play.folder, "a", VFS, SMALL)
     start = disk.operations
 
@@ -187,7 +187,7 @@
     )
     with pytest.raises(AssertionError, match="a power loss made it incomplete"):
         for count in range(1, 12):
-            lose_power_in_the_second_attempt(tmp_path / f"planted-{count}", count)
+            lose_power_in_the_second_attempt(tmp_path / f"with-defect-{count}", count)
 
 
 @pytest.mark.parametrize("stage", ["refused", "moved"])
@@ -198,7 +198,7 @@
     ledger = play.ledger
     fail_boot_file_replacements(play.disk, stage)
     ledger.folder.files = store_files.files_of(VFS)
-    ledger._set_state(DiskState.FAILED, "planted")
+    ledger._set_state(DiskState.FAILED, "injected")
     for _ in range(10):
         ledger._recover(DiskState.FAILED)
         assert count_record_files(play.folder, play.disk) <= 2
