--- a/tests/conformance/golden.py
+++ b/tests/conformance/golden.py
@@ -1,4 +1,4 @@
-"""The recorded outside: what other processes, disks, operators and clients see, as the code gave it once."""
+"""The recorded bytes, names and texts that other processes, disks, operators and clients depend on."""
 
 from __future__ import annotations
 
--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -1,7 +1,7 @@
-"""PROTOCOL: clients, engines, event bus and peers, at the state machines of their protocols."""
+"""Conformance rows of the PROTOCOL page: the protocols of clients, engines, event bus and peers."""
 
 # ruff: noqa: E501
-# Rows are scripts of short lines joined by line feeds: broken at 110 they would be harder to read.
+# Rows hold scripts of short lines joined by line feeds; wrapping them at 110 columns would make them harder to read.
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def greeted_client() -> tuple[World, Client]:
-    """A client that has its greeting."""
+    """Return a gateway and a client whose greeting is queued but not yet read."""
     world = World()
     client = world.clients["c1"] = Client(world.sessions.open())
     return world, client
@@ -80,13 +80,13 @@
 
 
 def clock_is_stepped() -> None:
-    loop, wall, up = asyncio.new_event_loop(), [1.79e9], [7.0]
-    clock = LoopClock(loop, lambda: up[0], lambda: wall[0])
+    loop, wall_s, monotonic_s = asyncio.new_event_loop(), [1.79e9], [7.0]
+    clock = LoopClock(loop, lambda: monotonic_s[0], lambda: wall_s[0])
     loop.close()
     before = clock.now()
     for step in (3600.0, -7200.0, 5.0):
-        wall[0] += step
-        up[0] += 1.0
+        wall_s[0] += step
+        monotonic_s[0] += 1.0
     assert clock.now() == before + 3000.0
 
 
@@ -103,8 +103,13 @@
     ), reports
 
 
-def poll_answer(offset: int, *events: tuple[int, str, int]) -> bytes:
-    """An answer of the event bus: events of number, state and start."""
+def poll_response(offset: int, *events: tuple[int, str, int]) -> bytes:
+    """Return the event bus's HTTP response to a poll.
+
+    Args:
+        offset: Offset that the response reports as the last one.
+        events: Offset, lifecycle state and start time in ms of each event.
+    """
     batch = []
     for number, state, started in events:
         entry = {
@@ -124,31 +129,31 @@
     stream, _ = event_stream()
     assert stream.request().startswith(f"GET /bus/read?from=3&hold={FIRST_POLL_MS} HTTP/1.1\r\n".encode())
     assert FIRST_POLL_MS <= LONG_POLL_MS <= 5000
-    stream.receive(poll_answer(9, (9, "Ready", 0)))
+    stream.receive(poll_response(9, (9, "Ready", 0)))
     assert stream.request().startswith(f"GET /bus/read?from=9&hold={LONG_POLL_MS} HTTP/1.1\r\n".encode())
 
 
-def bus_whole_and_changes() -> None:
+def bus_complete_list_and_changes() -> None:
     stream, reports = event_stream(0)
-    stream.receive(poll_answer(2, (1, "Ready", 0), (2, "Ready", 0)))
+    stream.receive(poll_response(2, (1, "Ready", 0), (2, "Ready", 0)))
     assert [report.is_complete for report in reports] == [True, False]
 
 
 def bus_states() -> None:
     stream, reports = event_stream()
-    stream.receive(poll_answer(6, (4, "Ready", 0), (5, "Terminating", 0), (6, "Gone", 0)))
-    got = [report.observations[0].status for report in reports]
-    assert got == [ServiceStatus.IN_SERVICE, ServiceStatus.DRAINED, ServiceStatus.ENDED]
+    stream.receive(poll_response(6, (4, "Ready", 0), (5, "Terminating", 0), (6, "Gone", 0)))
+    statuses = [report.observations[0].status for report in reports]
+    assert statuses == [ServiceStatus.IN_SERVICE, ServiceStatus.DRAINED, ServiceStatus.ENDED]
 
 
 def bus_late_start() -> None:
     stream, reports = event_stream()
-    stream.receive(poll_answer(4, (4, "Ready", 1_790_000_000_000)))
+    stream.receive(poll_response(4, (4, "Ready", 1_790_000_000_000)))
     (engine,) = reports[0].observations
     assert (engine.started_at, engine.zone, engine.machine_type, engine.cell) == (1.79e12, 1, 1, 2)
 
 
-def address_used_again() -> None:
+def reused_address() -> None:
     world = World(engines="a")
     world.run(LOOKUP_SENT + f"e1 send r1 {SERVED}list tell e1 gone")
     world.wait(300)
@@ -182,16 +187,17 @@
     assert peers().decode(b"x", ("10.9.9.9", 7)) is None
 
 
-def unusable(field: str, name: str) -> GatewayScript:
+def expects_field_error(fields: str, name: str) -> GatewayScript:
+    """Return a script that sends a query with invalid fields and expects an error that names one of them."""
     return GatewayScript(
-        f"c1 say /* {field} */ SELECT 1\nc1 expect error 1105 *'{name}'*\nc1 {PING}c1 expect ok"
+        f"c1 say /* {fields} */ SELECT 1\nc1 expect error 1105 *'{name}'*\nc1 {PING}c1 expect ok"
     )
 
 
 def sent_without_token() -> None:
     world = World(engines="a").run("c1 query lookup r1")
-    (words,) = world.engine_streams[0].received
-    assert b"token" not in words[2]
+    (request,) = world.engine_streams[0].received
+    assert b"token" not in request[2]
 
 
 def tenant_by_name() -> None:
@@ -216,7 +222,7 @@
     world.run("e1 expect nothing")
 
 
-C, E, B, P, S, F = (
+CLIENTS, ENGINES, EVENT_BUS, PEERS, SOCKETS, FIGURES = (
     "Clients to dispatchers, {}".format,
     "Dispatchers to engines, {}".format,
     "The event bus, {}".format,
@@ -227,93 +233,93 @@
 ROWS = (
     Row(
         "pro-login",
-        C("paragraph 1, sentence 1"),
+        CLIENTS("paragraph 1, sentence 1"),
         "A login with an empty password is accepted, one with another password is rejected",
         Assertion(login_with_a_password),
     ),
     Row(
         "pro-login-early",
-        C("paragraph 1, sentence 2"),
-        "Login and first query may arrive before the greeting is read",
+        CLIENTS("paragraph 1, sentence 2"),
+        "Login and first query are accepted before the client has read the greeting",
         Assertion(login_before_greeting),
     ),
     Row(
         "pro-result-most",
-        C("paragraph 1, sentence 4"),
-        "A result of the largest size is served completely, in three text columns",
+        CLIENTS("paragraph 1, sentence 4"),
+        "A result of the largest size is served completely in three text columns",
         Assertion(biggest_result),
     ),
     Row(
         "pro-field-service",
-        C("fields, row 1"),
-        "The class is named as in the settings; another name is an error that names the field",
-        unusable("service=dance,ref=00000000000000aa,allow=9", "service"),
+        CLIENTS("fields, row 1"),
+        "A query names its class as in the settings; an unknown class is an error that names the field",
+        expects_field_error("service=dance,ref=00000000000000aa,allow=9", "service"),
     ),
     Row(
         "pro-field-ref",
-        C("fields, row 2"),
-        "The id is 16 hex digits; another form is an error that names the field",
-        unusable("service=lookup,ref=xyz,allow=9", "ref"),
+        CLIENTS("fields, row 2"),
+        "The query id is 16 hex digits; any other form is an error that names the field",
+        expects_field_error("service=lookup,ref=xyz,allow=9", "ref"),
     ),
     Row(
         "pro-field-allow",
-        C("fields, row 3"),
-        "A query is answered within the time that the client waits",
+        CLIENTS("fields, row 3"),
+        "A query is answered within the client's timeout",
         GatewayScript(
             "list tell e1 gone\nlist tell e2 gone\nc1 query lookup r1 allow=1000\nc1 expect nothing\ntime wait 1000\nc1 expect error 1226 *"
         ),
     ),
     Row(
         "pro-field-allow-engine",
-        C("fields, row 3"),
-        "and no attempt's timeout is longer than that",
+        CLIENTS("fields, row 3"),
+        "An attempt's timeout is not longer than the client's timeout",
         GatewayScript("c1 query lookup r1 allow=2000\ne1 expect GET r1 *ms=1???,*"),
     ),
     Row(
         "pro-field-allow-connect",
-        C("fields, row 3"),
-        "nor after a connect that took some of it",
+        CLIENTS("fields, row 3"),
+        "The time that a connect takes is subtracted from the attempt's timeout",
         GatewayScript(
             "e1 will vanish\nc1 query load r1 allow=2000\ntime wait 200\ne1 will up\ntime wait 1\ne1 expect GET r1 *ms=138?,*"
         ),
     ),
     Row(
         "pro-field-allow-behind",
-        C("fields, row 3"),
-        "nor behind another query of its session: the time counts from its last byte",
+        CLIENTS("fields, row 3"),
+        "A client's timeout starts when the query's last byte arrives, also while an earlier query of the session runs",
         GatewayScript(
             "c1 query load r1 allow=9000\ne1 expect GET r1 *\nc1 query load r2 allow=2000\ntime wait 200\ne1 send r1 served count=1 a|b|c/\nany expect GET r2 *ms=138?,*"
         ),
     ),
     Row(
         "pro-field-allow-little",
-        C("fields, row 3"),
-        "A query that no engine could answer in time is rejected at once, and sent to none",
+        CLIENTS("fields, row 3"),
+        "A query that no engine could answer in time is rejected immediately and sent to no engine",
         GatewayScript(
             "c1 query load r1 allow=1\nc1 expect error 1226 *\nany nothing\ntime wait 300\nany nothing"
         ),
     ),
     Row(
         "pro-field-dup",
-        C("fields, row 4"),
-        "A client's retry is marked by one digit",
-        unusable("service=lookup,ref=00000000000000aa,allow=9,dup=2", "dup"),
+        CLIENTS("fields, row 4"),
+        "The retry mark is one digit of 0 or 1; any other value is an error that names the field",
+        expects_field_error("service=lookup,ref=00000000000000aa,allow=9,dup=2", "dup"),
     ),
     Row(
         "pro-field-effort",
-        C("fields, row 5"),
-        "The work is a number",
-        unusable("service=lookup,ref=00000000000000aa,allow=9,effort=x", "effort"),
+        CLIENTS("fields, row 5"),
+        "The estimated work is a number; any other value is an error that names the field",
+        expects_field_error("service=lookup,ref=00000000000000aa,allow=9,effort=x", "effort"),
     ),
     Row(
         "pro-field-room",
-        C("fields, row 6"),
-        "The memory is a number",
-        unusable("service=lookup,ref=00000000000000aa,allow=9,room=-1", "room"),
+        CLIENTS("fields, row 6"),
+        "The estimated memory is a number that is not negative; any other value is an error that names the field",
+        expects_field_error("service=lookup,ref=00000000000000aa,allow=9,room=-1", "room"),
     ),
     Row(
         "pro-field-key",
-        C("fields, row 7"),
+        CLIENTS("fields, row 7"),
         "In classes that are ordered by key, queries of one key run one after the other",
         GatewayScript(
             "c1 query load r1 allow=9000 lookup=k1\ne1 expect GET r1 *\nc2 query load r2 allow=9000 lookup=k1\nany nothing\ne1 send r1 "
@@ -323,53 +329,53 @@
     ),
     Row(
         "pro-field-key-other",
-        C("fields, row 7"),
-        "and in other classes the key means nothing",
+        CLIENTS("fields, row 7"),
+        "In classes that are not ordered by key, the key has no effect",
         GatewayScript(
             "c1 query lookup r1 lookup=k1\ne1 expect GET r1 *\nc2 query lookup r2 lookup=k1\nany expect GET r2 *"
         ),
     ),
     Row(
         "pro-field-token",
-        C("fields, idempotency key"),
-        "The client's idempotency key is sent to the engine unchanged, in all classes",
+        CLIENTS("fields, idempotency key"),
+        "The client's idempotency key is sent to the engine unchanged in all classes",
         GatewayScript(
             f"c1 query lookup r1 replay={TOKEN}\ne1 expect GET r1 kind=lookup,*,token={TOKEN} SELECT *"
         ),
     ),
     Row(
         "pro-field-token-each",
-        C("fields, idempotency key"),
-        "and is the same on each attempt",
+        CLIENTS("fields, idempotency key"),
+        "All attempts of a query carry the same idempotency key",
         GatewayScript(
             f"c1 query lookup r1 replay={TOKEN}\ne1 expect GET r1 *,token={TOKEN} *\ne1 send r1 overload -\ne2 expect GET r1 *,token={TOKEN} *"
         ),
     ),
     Row(
         "pro-field-token-absent",
-        C("fields, idempotency key"),
-        "No key is invented where the client sent none",
+        CLIENTS("fields, idempotency key"),
+        "No idempotency key is sent to the engine if the client sent none",
         Assertion(sent_without_token),
     ),
     *(
         Row(
             f"pro-field-token-{name}",
-            C("fields, idempotency key"),
-            f"A key that can't be a field's value is an error that names the field: {name}",
-            unusable(f"service=lookup,ref=00000000000000aa,allow=9,replay={value}", "replay"),
+            CLIENTS("fields, idempotency key"),
+            f"An idempotency key that is not a valid field value is an error that names the field: {name}",
+            expects_field_error(f"service=lookup,ref=00000000000000aa,allow=9,replay={value}", "replay"),
         )
         for name, value in {"empty": "", "long": "a" * 129, "spaces": "a b", "equals": "a=b"}.items()
     ),
     Row(
         "pro-field-tenant",
-        C("fields, tenant"),
-        "The tenant is named as in the settings, and reaches the scheduler as its index there",
+        CLIENTS("fields, tenant"),
+        "A query names its tenant as in the settings; the scheduler receives the tenant's index in the settings",
         Assertion(tenant_by_name),
     ),
     Row(
         "pro-field-tenant-unknown",
-        C("fields, tenant"),
-        "Another name is an error that names the field",
+        CLIENTS("fields, tenant"),
+        "An unknown tenant is an error that names the field",
         GatewayScript(
             "c1 say /* service=lookup,ref=00000000000000aa,allow=900,project=nobody */ SELECT 1\nc1 expect error 1105 *'project'*\nany nothing",
             replace(SETTINGS, tenants=TENANTS),
@@ -377,20 +383,20 @@
     ),
     Row(
         "pro-field-tenant-none",
-        C("fields, tenant"),
-        "and where the settings have no tenants it means nothing",
+        CLIENTS("fields, tenant"),
+        "The tenant field has no effect where the settings have no tenants",
         GatewayScript("c1 query lookup r1 project=nobody\ne1 expect GET r1 *"),
     ),
     Row(
         "pro-tables",
-        C("paragraph 2"),
-        "The table group is read from the schema's name, not from staging, strings or comments",
+        CLIENTS("paragraph 2"),
+        "The table group is read from the schema's name, not from staging schemas, string literals or comments",
         Assertion(tables_by_schema),
     ),
     Row(
         "pro-served",
-        C("answers, row 1"),
-        "A served query has all its rows, unchanged and in order, then an end",
+        CLIENTS("answers, row 1"),
+        "The answer to a query contains all rows, unchanged and in order, followed by the end of the result",
         GatewayScript(
             LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/d||f/\ne1 send r1 rows pos=1 1|2|3/\nc1 expect rows a|b|c/d||f/1|2|3"
@@ -398,26 +404,26 @@
     ),
     Row(
         "pro-refused",
-        C("answers, row 2"),
-        "A rejection is one of three errors, before any row",
+        CLIENTS("answers, row 2"),
+        "A rejection is one of the three rejection errors and is sent before any row",
         GatewayScript("c1 query load r1 allow=100\nc1 expect error 1226 *"),
     ),
     Row(
         "pro-failed",
-        C("answers, row 3"),
-        "A query that may have run and may not be retried gets another error",
+        CLIENTS("answers, row 3"),
+        "A query that may have run and may not be retried receives a different error than a rejected one",
         GatewayScript(LOAD_SENT + "e1 close\nc1 expect error 1105 *"),
     ),
     Row(
         "pro-cooldown",
-        C("list, item 1"),
-        "A rejection says after how many ms to retry",
+        CLIENTS("list, item 1"),
+        "A rejection states after how many ms the client may retry",
         GatewayScript("c1 query load r1 allow=100\nc1 expect error 1226 *cooldown=400"),
     ),
     Row(
         "pro-cooldown-none",
-        C("list, item 1"),
-        "and does not where the settings have no retry delays",
+        CLIENTS("list, item 1"),
+        "A rejection states no retry delay where the settings do not enable it",
         GatewayScript(
             "c1 query load r1 allow=100\nc1 expect error 1226 query refused, it did not run or may be repeated",
             replace(SETTINGS, features=replace(PERMITS, has_retry_after=False)),
@@ -425,36 +431,36 @@
     ),
     Row(
         "pro-no-rank",
-        E("form, RANK"),
-        "Only the default priority is sent where the settings have no priorities, also during shutdown",
+        ENGINES("form, RANK"),
+        "Only the default priority is sent where the settings disable priorities, also during shutdown",
         Assertion(no_priority),
     ),
     Row(
         "pro-kill",
-        C("list, item 2"),
-        "A KILL from another session ends the query by the greeting's connection id, and its attempt",
+        CLIENTS("list, item 2"),
+        "KILL QUERY from another session, with the connection id of the greeting, ends the query and its attempt",
         GatewayScript(
             LOOKUP_SENT + "c2 say KILL QUERY 1\nc2 expect ok\nc1 expect error 1317 *\ne1 expect DROP r1"
         ),
     ),
     Row(
         "pro-kill-late",
-        C("list, item 2"),
-        "A client that has closed gets nothing",
+        CLIENTS("list, item 2"),
+        "A query whose client has closed is cancelled at its engine, and a late answer is ignored",
         GatewayScript(LOOKUP_SENT + "c1 close\ne1 expect DROP r1\ne1 send r1 served count=1 a|b|c/"),
     ),
     Row(
         "pro-kill-connect",
-        C("list, item 2"),
-        "Nothing is started for a client that left during a connect, though loads are not cancelled",
+        CLIENTS("list, item 2"),
+        "A load whose client disconnected during the connect to the engine is not sent",
         GatewayScript(
             "e1 will vanish\nc1 query load r1 allow=20000\nc1 close\ntime wait 200\ne1 will up\ntime wait 20\nany nothing"
         ),
     ),
     Row(
         "pro-kill-connect-kept",
-        C("list, item 2"),
-        "nor where the settings allow no cancels",
+        CLIENTS("list, item 2"),
+        "A killed query is not sent after the connect where the settings do not allow cancels",
         GatewayScript(
             "e1 will vanish\nc1 query lookup r1\nc2 say KILL QUERY 1\nc1 expect error 1317 *\ntime wait 200\ne1 will up\ntime wait 20\nany nothing",
             UNCANCELLED,
@@ -462,33 +468,33 @@
     ),
     Row(
         "pro-kill-held",
-        C("list, item 2"),
-        "nor for one that left while its query was queued, once there is an engine again",
+        CLIENTS("list, item 2"),
+        "A query whose client disconnected while it was queued is not sent when an engine becomes available",
         GatewayScript(
             "list tell e1 gone\nlist tell e2 gone\nc1 query load r1 allow=20000\nc1 close\nlist tell e1 live\ntime wait 300\nany nothing"
         ),
     ),
     Row(
         "pro-ping",
-        C("list, item 3"),
-        "A ping after the start is answered with ok",
+        CLIENTS("list, item 3"),
+        "A ping after the login is answered with OK",
         GatewayScript(f"c1 {PING}c1 expect ok"),
     ),
     Row(
         "pro-close-idle",
-        C("list, item 5, sentence 1"),
-        "A connection that is still within 4 s of idleness is not closed",
+        CLIENTS("list, item 5, sentence 1"),
+        "A connection that has been idle for up to 4 s is not closed",
         GatewayScript(f"c1 {PING}c1 expect ok\ntime wait 4000\nc1 {PING}c1 expect ok"),
     ),
     Row(
         "pro-close-open",
-        C("list, item 5, sentence 2"),
-        "A connection with an open request is not closed, however long it takes",
+        CLIENTS("list, item 5, sentence 2"),
+        "A connection with an open request is not closed, however long the request takes",
         GatewayScript(LOAD_SENT + "time wait 9000\nc1 expect nothing\ne1 send r1 " + SERVED),
     ),
     Row(
         "pro-get",
-        E("form, GET"),
+        ENGINES("form, GET"),
         "A query is sent with its id, class, timeout, priority and statement",
         GatewayScript(
             "c1 query lookup r1 allow=5000\ne1 expect GET r1 kind=lookup,ms=458?,order=1 SELECT a FROM s_7.t"
@@ -496,15 +502,15 @@
     ),
     Row(
         "pro-as-it-is",
-        E("paragraph 2, sentence 1"),
-        "The statement is sent unchanged, without the comment of the fields",
+        ENGINES("paragraph 2, sentence 1"),
+        "The statement is sent unchanged, without the comment that holds the fields",
         GatewayScript(
             f"c1 say /* service=lookup,ref=00000000000000aa,allow=900 */ {STATEMENT}\ne1 expect GET 00000000000000aa * {STATEMENT}"
         ),
     ),
     Row(
         "pro-never-made-up",
-        E("paragraph 2, sentence 2"),
+        ENGINES("paragraph 2, sentence 2"),
         "Nothing is sent to an engine for a request with invalid fields",
         GatewayScript(
             "c1 say /* service=lookup,ref=xyz,allow=9 */ SELECT 1\nc1 expect error 1105 *\nany nothing"
@@ -512,30 +518,30 @@
     ),
     Row(
         "pro-drop",
-        E("form, DROP"),
-        "An attempt that reaches its client's timeout is cancelled at the engine",
+        ENGINES("form, DROP"),
+        "An attempt that exceeds its client's timeout is cancelled at the engine",
         GatewayScript(
             "c1 query load r1 allow=3000\ne1 expect GET r1 *\ntime wait 2590\ne1 expect DROP r1\nc1 expect error 1105 *"
         ),
     ),
     Row(
         "pro-rank",
-        E("form, RANK"),
-        "A new priority of an attempt in flight is sent",
+        ENGINES("form, RANK"),
+        "A new priority of an attempt in flight is sent to its engine",
         Assertion(sent_priority),
     ),
     Row(
         "pro-page",
-        E("form, PAGE"),
-        "All further pages are fetched, from 1",
+        ENGINES("form, PAGE"),
+        "All pages after the first, numbered from 1, are fetched",
         GatewayScript(
             LOOKUP_SENT + "e1 send r1 served count=3 a|b|c/\ne1 expect PAGE r1 1\ne1 expect PAGE r1 2"
         ),
     ),
     Row(
         "pro-page-close",
-        E("form, CLOSE"),
-        "and the result is closed at the engine after the last one",
+        ENGINES("form, CLOSE"),
+        "The result is closed at the engine after its last page",
         GatewayScript(
             LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/\ne1 expect PAGE r1 1\ne1 send r1 rows pos=1 1|2|3/\ne1 expect CLOSE r1"
@@ -543,7 +549,7 @@
     ),
     Row(
         "pro-any-order",
-        E("paragraph 1, sentence 4"),
+        ENGINES("paragraph 1, sentence 4"),
         "Answers on one connection may arrive in any order",
         GatewayScript(
             LOOKUP_SENT
@@ -553,8 +559,8 @@
     ),
     Row(
         "pro-closed-gives-up",
-        E("paragraph 1, sentence 4"),
-        "The end of a connection ends all attempts on it",
+        ENGINES("paragraph 1, sentence 4"),
+        "When a connection closes, all attempts on it end",
         GatewayScript(
             LOOKUP_SENT
             + "list tell e2 draining\nc2 query load r2\ne1 expect GET r2 *\nlist tell e2 live\ne1 close\nc2 expect error 1105 *\nany expect GET r1 *"
@@ -562,20 +568,20 @@
     ),
     Row(
         "pro-overload",
-        E("answers, row 2"),
-        "An overloaded engine never ran it: a load is sent to another",
+        ENGINES("answers, row 2"),
+        "An engine that answers overload did not run the query, so a load is retried on another engine",
         GatewayScript(LOAD_SENT + "e1 send r1 overload -\ne2 expect GET r1 *"),
     ),
     Row(
         "pro-crashed",
-        E("answers, row 3"),
-        "A crash may have run it: a load fails",
+        ENGINES("answers, row 3"),
+        "A query that ends as crashed may have run, so a load fails",
         GatewayScript(LOAD_SENT + "e1 send r1 crashed -\nc1 expect error 1105 *\ne2 expect nothing"),
     ),
     Row(
         "pro-crashed-page",
-        E("answers, row 3"),
-        "and so does one whose page the engine has forgotten",
+        ENGINES("answers, row 3"),
+        "A load fails if the engine no longer has one of its result pages",
         GatewayScript(
             LOAD_SENT
             + "e1 send r1 served count=2 a|b|c/\ne1 send r1 crashed -\nc1 expect error 1105 *\ne2 expect nothing"
@@ -583,20 +589,20 @@
     ),
     Row(
         "pro-nobody",
-        E("answers, row 4"),
-        "An attempt that ended before it ran may be rejected, also a load's",
+        ENGINES("answers, row 4"),
+        "A query whose attempt ended before it ran may be rejected, also a load",
         GatewayScript(LOAD_SENT + "e1 send r1 nobody -\nc1 expect error 1226 *"),
     ),
     Row(
         "pro-page-rows",
-        E("list, item 2, sentence 1"),
-        "A page has complete rows: one that has not is no answer for the client",
+        ENGINES("list, item 2, sentence 1"),
+        "A page with an incomplete row is not sent to the client; an idempotent query is retried",
         GatewayScript(LOOKUP_SENT + "e1 send r1 served count=1 a|b|c\nc1 expect nothing\ne2 expect GET r1 *"),
     ),
     Row(
         "pro-page-lost",
-        E("list, item 2, sentence 2"),
-        "An idempotent query whose pages are lost with their engine is retried, and no row of the first is sent",
+        ENGINES("list, item 2, sentence 2"),
+        "An idempotent query whose pages are lost with their engine is retried, and no row of the first attempt is sent",
         GatewayScript(
             LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/\ne1 close\ne2 expect GET r1 *\ne2 send r1 served count=1 x|y|z/\nc1 expect rows x|y|z"
@@ -604,34 +610,34 @@
     ),
     Row(
         "pro-refused-connect",
-        E("list, item 5, sentence 1"),
-        "A refused connect proves that nothing ran",
+        ENGINES("list, item 5, sentence 1"),
+        "A refused connect proves that the query did not run, so a load is retried on another engine",
         GatewayScript("e1 will refuse\nc1 query load r1 allow=20000\ne1 expect nothing\ne2 expect GET r1 *"),
     ),
     Row(
         "pro-reset",
-        E("list, item 5, sentence 2"),
-        "A reset proves nothing about requests that were written",
+        ENGINES("list, item 5, sentence 2"),
+        "A connection reset does not prove that written requests did not run, so a load fails",
         GatewayScript(LOAD_SENT + "e1 close\nc1 expect error 1105 *may have run*"),
     ),
     Row(
         "pro-vanished",
-        E("list, item 5, sentence 3"),
-        "A connect that never succeeds is waited for no longer than configured",
+        ENGINES("list, item 5, sentence 3"),
+        "A connect without a response is abandoned after the configured connect timeout",
         GatewayScript(
             "e1 will vanish\nc1 query load r1 allow=20000\nc1 expect nothing\ntime wait 251\ne2 expect GET r1 *"
         ),
     ),
     Row(
         "pro-cut-off",
-        E("list, item 5, sentence 3"),
-        "A connection that stays silent with attempts in flight is detected and abandoned",
+        ENGINES("list, item 5, sentence 3"),
+        "A connection on which the engine stops responding while attempts are in flight is detected and closed",
         GatewayScript("e1 will mute\n" + LOAD_SENT + "time wait 2100\nc1 expect error 1105 *may have run*"),
     ),
     Row(
         "pro-engine-idle",
-        E("list, item 5, sentence 4"),
-        "Nothing is written on a connection that its engine may be closing as idle",
+        ENGINES("list, item 5, sentence 4"),
+        "No request is written on a connection that its engine may be closing as idle",
         GatewayScript(
             LOOKUP_SENT
             + f"e1 send r1 {SERVED}time wait 13500\nlist tell e2 gone\nc2 query lookup r2\ne1 expect nothing\ne1.2 expect GET r2 *"
@@ -639,85 +645,88 @@
     ),
     Row(
         "pro-bus-call",
-        B("paragraph 1, sentence 3"),
-        "The next call names the last known event, and waits 5 s at most",
+        EVENT_BUS("paragraph 1, sentence 3"),
+        "The next poll names the last received event and waits 5 s at most",
         Assertion(bus_call),
     ),
     Row(
         "pro-bus-whole",
-        B("list, item 1, sentence 1"),
-        "The first event is the complete list, those after it are changes",
-        Assertion(bus_whole_and_changes),
+        EVENT_BUS("list, item 1, sentence 1"),
+        "The first event is the complete engine list, later events are changes",
+        Assertion(bus_complete_list_and_changes),
     ),
     Row(
         "pro-bus-states",
-        B("list, item 1, sentence 2"),
-        "Three states are distinguished",
+        EVENT_BUS("list, item 1, sentence 2"),
+        "The lifecycle states Ready, Terminating and Gone are distinguished",
         Assertion(bus_states),
     ),
     Row(
         "pro-bus-start",
-        B("list, item 1, sentence 3"),
-        "A start time is read, with zone, machine type and cell",
+        EVENT_BUS("list, item 1, sentence 3"),
+        "An engine's start time, zone, machine type and cell are read from the event",
         Assertion(bus_late_start),
     ),
     Row(
         "pro-bus-address",
-        B("list, item 1, sentence 4"),
-        "A new engine at a removed one's address gets connections of its own",
-        Assertion(address_used_again),
+        EVENT_BUS("list, item 1, sentence 4"),
+        "A new engine at the address of a removed engine gets new connections",
+        Assertion(reused_address),
     ),
     Row(
         "pro-bus-told",
-        B("list, item 2"),
-        "A change of the list applies at once: nothing more is sent to a draining engine",
+        EVENT_BUS("list, item 2"),
+        "A change of the engine list applies immediately: no further query is sent to a draining engine",
         GatewayScript(
             "c1 query lookup r1\ne1 expect GET r1 *\nlist tell e1 draining\nlist tell e2 draining\nc2 query lookup r2\nany nothing\nc2 expect nothing"
         ),
     ),
     Row(
         "pro-bus-told-connect",
-        B("list, item 2"),
-        "not even what is queued there for its connect",
+        EVENT_BUS("list, item 2"),
+        "A query that waits for the connect to an engine is not sent there once the engine drains",
         GatewayScript(
             "e1 will vanish\nc1 query lookup r1\nlist tell e1 draining\ne1 will up\ntime wait 10\ne1 expect nothing\ne2 expect GET r1 *"
         ),
     ),
     Row(
-        "pro-peer-most", P("sentence 1"), "No datagram over 256 bytes is sent", Assertion(peer_datagram_limit)
+        "pro-peer-most",
+        PEERS("sentence 1"),
+        "No datagram over 256 bytes is sent",
+        Assertion(peer_datagram_limit),
     ),
     Row(
         "pro-peer-all",
-        P("sentence 1"),
-        "A message for all is sent to the one address for that",
+        PEERS("sentence 1"),
+        "A message for all peers is sent to the configured broadcast address",
         Assertion(peers_all),
     ),
     Row(
         "pro-peer-sender",
-        P("sentence 2"),
-        "A datagram's sender is known by its address; a stranger's is ignored",
+        PEERS("sentence 2"),
+        "A datagram's sender is identified by its address; datagrams from unknown addresses are ignored",
         Assertion(peers_by_address),
     ),
     Row(
         "pro-lost-second",
-        S("item 1, sentence 2"),
-        "A client gets no second answer: an engine's duplicate is ignored",
+        SOCKETS("item 1, sentence 2"),
+        "A client receives no second answer: an engine's duplicate answer is ignored",
         GatewayScript(
             LOOKUP_SENT + f"e1 send r1 {SERVED}e1 send r1 served count=1 x|y|z/\nc1 expect nothing"
         ),
     ),
     Row(
         "pro-lost-late",
-        S("item 1, sentence 2"),
-        "nor does one after an error",
+        SOCKETS("item 1, sentence 2"),
+        "An engine's answer that arrives after the client received an error is ignored",
         GatewayScript(
             "c1 query load r1 allow=3000\ne1 expect GET r1 *\ntime wait 2590\nc1 expect error 1105 *\ne1 send r1 served count=1 a|b|c/\nc1 expect nothing"
         ),
     ),
     Row(
         "pro-lost-copy",
-        S("item 1, sentence 2"),
-        "A duplicate answer to an attempt does not answer the next one under that id",
+        SOCKETS("item 1, sentence 2"),
+        "A duplicate answer to an attempt is not taken as the answer to a later attempt with the same id",
         GatewayScript(
             "c1 query load r1 allow=20000\ne1 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500\ne1.2 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500\nany nothing\ne1.2 send r1 "
             + SERVED,
@@ -727,7 +736,7 @@
     Row(
         "pro-window-connect",
         "The rules on sockets, paragraph 1",
-        "A retry begins within the deduplication window, also where its connect takes long",
+        "A retry whose connect ends after the deduplication window is not sent",
         GatewayScript(
             "c1 query lookup r1\ne1 expect GET r1 *\ntime wait 900\ne2 will vanish\ne1 close\ntime wait 120\ne2 will up\ntime wait 1\nany nothing\nc1 expect error 1226 *",
             KEYED,
@@ -736,7 +745,7 @@
     Row(
         "pro-allowance-connect",
         "The rules on sockets, paragraph 1",
-        "Retries count against their budget when they begin, not when their connect does",
+        "A retry counts against the retry budget from the time it is sent, not from the start of its connect",
         GatewayScript(
             "c1 query lookup r1\ne1 expect GET r1 *\ne2 will vanish\ne1 send r1 overload -\ntime wait 240\ne2 will up\ntime wait 0\ne2 expect GET r1 *\nlist tell e1 draining\ntime wait 780\nc2 query lookup r2\ne2 expect GET r2 *\ne2 send r2 overload -\nc2 expect error 1226 *",
             ONE_RETRY,
@@ -744,32 +753,32 @@
     ),
     Row(
         "pro-lost-made-up",
-        S("item 1, sentence 2"),
-        "An answer to an id that is not in flight reaches nobody",
+        SOCKETS("item 1, sentence 2"),
+        "An answer with an id that is not in flight is ignored",
         GatewayScript(
             LOOKUP_SENT + "e1 send r7 served count=1 x|y|z/\nc1 expect nothing\ne1 send r1 " + SERVED
         ),
     ),
     Row(
         "pro-attempt-out",
-        S("item 2"),
-        "A cancelled attempt is in flight no more: its ordering key is free",
+        SOCKETS("item 2"),
+        "A cancelled attempt is no longer in flight, so its ordering key is released",
         GatewayScript(
             "c1 query load r1 allow=3000 lookup=k1\ne1 expect GET r1 *\nc2 query load r2 allow=9000 lookup=k1\ntime wait 2590\ne1 expect DROP r1\nc1 expect error 1105 *\nany expect GET r2 *"
         ),
     ),
     Row(
         "pro-refusal-rule",
-        S("item 3"),
-        "After a first attempt that may have run, an overloaded engine's answer is no rejection of a load",
+        SOCKETS("item 3"),
+        "A load with one attempt that may have run fails, even if another attempt was answered with overload",
         GatewayScript(
             LOAD_SENT + "e1 send r1 overload -\ne2 expect GET r1 *\ne2 close\nc1 expect error 1105 *"
         ),
     ),
     Row(
         "pro-not-whole",
-        F("item 2"),
-        "No row is sent before all have arrived, so that a broken answer never looks complete",
+        FIGURES("item 2"),
+        "No row is sent before all rows have arrived, so that an incomplete answer is never sent to the client",
         GatewayScript(
             LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/\nc1 expect nothing\ne1 close\nc1 expect nothing\ne2 expect GET r1 *"
@@ -777,8 +786,8 @@
     ),
     Row(
         "pro-term-new",
-        F("item 4, sentence 2"),
-        "After SIGTERM new connections and their requests are served for 0.4 s and more",
+        FIGURES("item 4, sentence 2"),
+        "After SIGTERM new connections and their requests are served for at least 0.4 s",
         GatewayScript(
             "ops leave\ntime wait 380\nc1 query lookup r1 allow=1500\ne1 expect GET r1 *\ne1 send r1 "
             + SERVED
@@ -786,24 +795,24 @@
     ),
     Row(
         "pro-term-open",
-        F("item 4, sentence 2"),
-        "and requests on open ones for 0.2 s longer",
+        FIGURES("item 4, sentence 2"),
+        "After SIGTERM requests on open connections are served for 0.2 s longer than those on new connections",
         GatewayScript(
             f"c1 {PING}c1 expect ok\nops leave\ntime wait 590\nc1 query lookup r1 allow=1500\nany expect GET r1 *"
         ),
     ),
     Row(
         "pro-term-kill",
-        F("item 4, sentence 3"),
-        "Later queries that could outlast SIGKILL are rejected before they run",
+        FIGURES("item 4, sentence 3"),
+        "After SIGTERM queries that could run longer than the time until SIGKILL are rejected before they run",
         GatewayScript(
             "ops leave\ntime wait 710\nc1 query load r1 allow=20000\nc1 expect error 1226 *did not run*\nany nothing"
         ),
     ),
     Row(
         "pro-term-answers",
-        F("item 4, sentence 4"),
-        "All accepted requests are answered before the end",
+        FIGURES("item 4, sentence 4"),
+        "All requests accepted before SIGTERM are answered before the process exits",
         GatewayScript(
             LOAD_SENT + "ops leave\ntime wait 1500\nc1 expect nothing\ne1 send r1 " + SERVED + "c1 closing"
         ),
@@ -811,7 +820,7 @@
     Row(
         "pro-term-short",
         RENEWED(9),
-        "With short deadlines SIGKILL comes soon: requests at hanging engines are answered before, and idle connections are closed",
+        "If all deadlines are short, SIGKILL follows soon after SIGTERM: requests at unresponsive engines are answered and idle connections are closed before it",
         GatewayScript(
             "c2 send 010000000e\nc2 expect ok\nc1 query brief r1 allow=9000\ne1 expect GET r1 *\nops terminate\ntime wait 1000\nc1 expect error 1226 *\nc1 closing\nc2 closing",
             SHORT_DEADLINE,
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -1,14 +1,24 @@
-"""What a row of a conformance table is, and the three ways in which it is checked.
+"""The rows of the conformance tables and the three kinds of checks that a row may have.
 
-A row says in our own words what a page requires of the dispatcher, where on the page, and how it is checked:
-by a script of events into Scheduler.step (`SchedulerScript`), by a script for the gateway in the language of
-tests/support/scenario.py (`GatewayScript`), or by a function that asserts (`Assertion`).
+A row states one requirement of a page on the dispatcher, its place on that page, and a check of one kind:
 
-A scheduler script is lines `TIME EVENT; EVENT -> ACTION, ACTION`. The scheduler is stepped each 10 ms up to
-TIME and then with the events; the actions are all sends and final answers since the line before. Events:
-`list NAME[:FIELD=VALUE,...] ...` (complete), `change ...`, `ask ID [FIELD=VALUE ...]`, `end ID OUTCOME`,
-`gone ID`, `fails`. Actions: `send ID [ENGINE]`, `reject ID`, `fail ID`, `cancel ID`, `subscribe`, or
-`nothing`.
+    SchedulerScript: A script of events for Scheduler.step.
+    GatewayScript: A script for the gateway in the language of tests/support/scenario.py.
+    Assertion: A function that asserts.
+
+A scheduler script consists of lines `TIME EVENT; EVENT -> ACTION, ACTION`. The scheduler runs a step every
+10 ms up to TIME, then a step with the events. The line lists all sends, final answers and subscriptions since
+the line before.
+
+Events:
+    list NAME[:FIELD=VALUE,...] ...: A complete engine list.
+    change NAME[:FIELD=VALUE,...] ...: Changes of the engine list.
+    ask ID [FIELD=VALUE ...]: A query arrives.
+    end ID OUTCOME: The query's last attempt ends.
+    gone ID: The query's client disconnects.
+    fails: A poll of the engine list fails.
+
+Actions: `send ID [ENGINE]`, `reject ID`, `fail ID`, `cancel ID`, `subscribe`, or `nothing`.
 """
 
 from __future__ import annotations
@@ -45,18 +55,26 @@
 
 
 class Check(Protocol):
-    """How a row is checked: run raises AssertionError where the row is not met."""
+    """The check of a row."""
 
     def run(self) -> None:
-        """Check."""
+        """Run the check; raises AssertionError if the row's requirement is violated."""
 
     def expects(self) -> bool:
-        """Whether anything is expected at all: a check that can't fail is a defect of the table."""
+        """Return whether the check asserts anything; one that cannot fail is a defect of the table."""
 
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """One sentence that requires something. `unmet`: why it is not met yet; its check then has to fail."""
+    """One requirement of a page and its check.
+
+    Attributes:
+        id: Unique name of the row, and of its test case.
+        place: Page section and sentence that state the requirement.
+        requirement: The requirement in one sentence.
+        check: Check of the requirement.
+        unmet: Why the requirement is not fulfilled yet; the check then has to fail. Empty if it is.
+    """
 
     id: str
     place: str
@@ -66,14 +84,14 @@
 
 
 def parse_value(text: str) -> Any:
-    """A field's value as number, else as text."""
+    """Return a field's value as a number if it is one, else as text."""
     if re.fullmatch(r"-?\d+", text):
         return int(text)
     return float(text) if re.fullmatch(r"-?\d+\.\d+", text) else text
 
 
 def parse_fields(text: str) -> dict[str, Any]:
-    """NAME=VALUE pairs."""
+    """Return the fields of a text `NAME=VALUE,NAME=VALUE`."""
     return {
         name: parse_value(value)
         for name, _, value in (part.partition("=") for part in text.split(",") if part)
@@ -81,7 +99,7 @@
 
 
 def parse_engine(text: str) -> Engine:
-    """NAME[:FIELD=VALUE,...]: one line of the list."""
+    """Return the engine of a text `NAME[:FIELD=VALUE,...]`."""
     name, _, rest = text.partition(":")
     given = parse_fields(rest)
     return Engine(name, **{**given, "state": EngineState(given.get("state", "live"))})
@@ -89,40 +107,46 @@
 
 @dataclass(slots=True)
 class ScriptedScheduler:
-    """A scheduler under a script, with the last attempt of each query and its engine."""
+    """A scheduler that is driven by the lines of a script.
+
+    Attributes:
+        scheduler: Scheduler under test.
+        now: Time of the last step, in ms.
+        sent: Number and engine of the last attempt of each query, by query id.
+    """
 
     scheduler: Scheduler
     now: float = 0.0
     sent: dict[str, tuple[int, str]] = field(default_factory=dict)
 
     def parse_event(self, text: str) -> Event:
-        """The event that a script names."""
+        """Return the scheduler event that a script's event stands for."""
         verb, *rest = text.split()
         if verb in ("list", "change"):
             return EngineList(tuple(map(parse_engine, rest)), is_complete=verb == "list")
         if verb == "ask":
             given = parse_fields(",".join(rest[1:]))
-            kind, due = int(given.pop("kind", 0)), given.pop("allow", 5000.0) + self.now
-            return QueryArrived(rest[0], kind, due, **{"estimated_work_ms": 100.0, **given})
+            class_index, deadline = int(given.pop("kind", 0)), given.pop("allow", 5000.0) + self.now
+            return QueryArrived(rest[0], class_index, deadline, **{"estimated_work_ms": 100.0, **given})
         if verb == "end":
-            attempt, at = self.sent[rest[0]]
-            return AttemptEnded(rest[0], attempt, at, Outcome(rest[1]), 10.0, is_final=rest[1] == "ok")
+            attempt, engine = self.sent[rest[0]]
+            return AttemptEnded(rest[0], attempt, engine, Outcome(rest[1]), 10.0, is_final=rest[1] == "ok")
         return ClientDisconnected(rest[0]) if verb == "gone" else EngineListFailed()
 
     def describe(self, action: Action) -> str:
-        """An action as a script names it; empty for those that it doesn't."""
+        """Return an action in the script's form, and record attempts; empty for actions that scripts omit."""
         match action:
-            case Send(query, at):
-                self.sent[query] = (self.sent[query][0] + 1 if query in self.sent else 0, at)
-                return f"send {query} {at}"
+            case Send(query, engine):
+                self.sent[query] = (self.sent[query][0] + 1 if query in self.sent else 0, engine)
+                return f"send {query} {engine}"
             case Reject(query) | Fail(query) | Cancel(query):
                 return f"{type(action).__name__.lower()} {query}"
             case Subscribe():
                 return "subscribe"
         return ""
 
-    def play_line(self, at: float, events: str) -> list[str]:
-        """Steps up to a time, then the events; what was done."""
+    def run_line(self, at: float, events: str) -> list[str]:
+        """Run steps up to a time in ms, then one with the events; return the actions in the script's form."""
         actions: list[Action] = []
         while self.now + STEP_MS < at:
             self.now += STEP_MS
@@ -136,7 +160,15 @@
 
 @dataclass(slots=True, frozen=True)
 class SchedulerScript:
-    """A script of events into Scheduler.step."""
+    """A script of events for Scheduler.step.
+
+    Attributes:
+        script: Lines of the script; see the module.
+        classes: Query classes of the settings.
+        site: Other fields of Settings that differ from SITE.
+        rules: Fields of Rules that differ from those of SITE.
+        features: Fields of Features that differ from FEATURES.
+    """
 
     script: str
     classes: tuple[QueryClass, ...] = (LOOKUP,)
@@ -156,19 +188,19 @@
         for text in filter(None, map(str.strip, self.script.splitlines())):
             head, arrow, expected = text.partition("->")
             at, _, events = head.strip().partition(" ")
-            actions = scripted.play_line(float(at), events)
+            actions = scripted.run_line(float(at), events)
             if arrow:
                 self.compare(
-                    text, actions, [w.strip() for w in expected.split(",") if w.strip() != "nothing"]
+                    text, actions, [part.strip() for part in expected.split(",") if part.strip() != "nothing"]
                 )
 
     def compare(self, text: str, actions: list[str], expected: list[str]) -> None:
-        left = list(actions)
+        unexpected = list(actions)
         for line in expected:
-            found = [w for w in left if w == line or w.startswith(f"{line} ")]
-            assert found, f"{text}: done {actions}"
-            left.remove(found[0])
-        assert not left, f"{text}: done {actions}"
+            matches = [action for action in unexpected if action == line or action.startswith(f"{line} ")]
+            assert matches, f"{text}: the actions were {actions}"
+            unexpected.remove(matches[0])
+        assert not unexpected, f"{text}: the actions were {actions}"
 
     def expects(self) -> bool:
         return "->" in self.script
@@ -192,7 +224,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Assertion:
-    """A function that asserts: about one part, or the whole process."""
+    """A function that asserts something about one part or the whole process."""
 
     call: Callable[[], None]
 
--- a/tests/conformance/sockets.py
+++ b/tests/conformance/sockets.py
@@ -1,4 +1,4 @@
-"""PROTOCOL on real sockets whose calls fail by script: its rules hold whatever the system says."""
+"""Conformance rows of the PROTOCOL page on real sockets whose system calls fail as the test plans."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.support.loopback import GREETED, REQUEST_ID, Loopback, run_scenario
 from tests.support.loopback import ROWS as RESULT
 
-S, E = "The rules on sockets, {}".format, "Dispatchers to engines, {}".format
+SOCKETS, ENGINES = "The rules on sockets, {}".format, "Dispatchers to engines, {}".format
 
 
 def accept_failures() -> None:
@@ -88,32 +88,32 @@
 ROWS = (
     Row(
         "pro-sock-accepted",
-        S("item 1, sentence 1"),
-        "A request on a connection that the machine accepted is answered though accept or an option failed",
+        SOCKETS("item 1, sentence 1"),
+        "A request on an accepted connection is answered, even if accept or setsockopt fails meanwhile",
         Assertion(accept_failures),
     ),
     Row(
         "pro-sock-queued",
-        S("item 1, sentence 1"),
-        "and so is one that waits in the queue as the listener closes",
+        SOCKETS("item 1, sentence 1"),
+        "A request that waits in the accept queue when the listener closes is answered",
         Assertion(queue_failures),
     ),
     Row(
         "pro-sock-whole",
-        S("item 1, sentence 2"),
-        "Its answer goes out whole though writes are short, interrupted or lack memory",
+        SOCKETS("item 1, sentence 2"),
+        "An answer is sent completely, even if writes are short, interrupted or fail for lack of memory",
         Assertion(write_failures),
     ),
     Row(
         "pro-sock-unreached",
-        E("list, item 5, sentence 1"),
-        "A connect that the system could not make proves that nothing ran",
+        ENGINES("list, item 5, sentence 1"),
+        "A connect that fails in the operating system proves that the query did not run",
         Assertion(connect_failure),
     ),
     Row(
         "pro-sock-broken",
-        E("list, item 5, sentence 2"),
-        "A connection that ends in another error than a reset proves as little of what was written",
+        ENGINES("list, item 5, sentence 2"),
+        "A connection that ends in another error than a reset does not prove that written requests did not run",
         Assertion(read_failure),
     ),
 )
--- a/tests/conformance/test_tables.py
+++ b/tests/conformance/test_tables.py
@@ -1,4 +1,4 @@
-"""Runs the conformance tables, row by row, and looks after the tables themselves."""
+"""Runs the check of each row of the conformance tables, and checks the tables themselves."""
 
 from __future__ import annotations
 
@@ -20,21 +20,25 @@
 ROWS = {row.id: row for table in TABLES.values() for row in table}
 
 
-def marked(row: Row) -> Any:
-    """A row as a case; one not held yet has to fail, so that the mark goes when it holds."""
+def row_case(row: Row) -> Any:
+    """Return a row as a test case.
+
+    A row with `unmet` is marked as a strict expected failure: the test fails as soon as the requirement is
+    fulfilled, so that the mark is then removed.
+    """
     marks = [pytest.mark.xfail(reason=row.unmet, strict=True, raises=AssertionError)] if row.unmet else []
     return pytest.param(row, id=row.id, marks=marks)
 
 
-@pytest.mark.parametrize("row", map(marked, ROWS.values()))
+@pytest.mark.parametrize("row", map(row_case, ROWS.values()))
 def test_row(row: Row) -> None:
     row.check.run()
 
 
-def test_tables_are_whole() -> None:
-    every = [row for table in TABLES.values() for row in table]
-    assert len(ROWS) == len(every), "an id is there twice"
-    assert not [r.id for r in every if not (r.place and r.requirement and r.check.expects())]
+def test_tables_are_complete() -> None:
+    rows = [row for table in TABLES.values() for row in table]
+    assert len(ROWS) == len(rows), "two rows have the same id"
+    assert not [r.id for r in rows if not (r.place and r.requirement and r.check.expects())]
 
 
 DEFECTS: list[tuple[type | object, str, Any, str]] = [
@@ -60,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("owner", "name", "broken", "rows"), DEFECTS, ids=[d[1] for d in DEFECTS])
-def test_rows_on_a_broken_guard_fail(
+def test_rows_fail_when_their_guard_is_broken(
     owner: object, name: str, broken: Any, rows: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(owner, name, broken)
--- a/tests/conformance/wire.py
+++ b/tests/conformance/wire.py
@@ -1,4 +1,4 @@
-"""WIRE: the rules of its second section, at the module."""
+"""Conformance rows of the WIRE page (section 2, obligations), checked at Scheduler.step."""
 
 # ruff: noqa: E501
 
@@ -25,16 +25,16 @@
 ALL_FAIL = "; ".join(f"end q{i} error" for i in range(10))
 
 
-def warming_engine_keeps_its_budget() -> None:
-    """Asked for far more than it may get, from its start on: no span holds more than the rule allows."""
+def cold_engine_stays_within_its_budget() -> None:
+    """Offer a newly started engine far more work than it may receive; no window may exceed its budget."""
     scripted, sent = ScriptedScheduler(Scheduler(SITE, 1)), list[float]()
-    scripted.play_line(1000.0, "list e1:started_at=990")
+    scripted.run_line(1000.0, "list e1:started_at=990")
     for n in range(200):
         at = 1010.0 + 20 * n
-        for word in scripted.play_line(at, f"ask q{n} estimated_work_ms=200"):
-            if word.startswith("send"):
+        for action in scripted.run_line(at, f"ask q{n} estimated_work_ms=200"):
+            if action.startswith("send"):
                 sent.append(at)
-                scripted.play_line(at, f"end {word.split()[1]} ok")
+                scripted.run_line(at, f"end {action.split()[1]} ok")
     rules = SITE.rules
     max_work_ms = rules.cold_capacity_share * 8 * rules.overload_factor * rules.overload_window_ms
     assert (
@@ -48,19 +48,19 @@
     Row(
         "wire-answer-held",
         RULE(1, 1),
-        "A query that stays queued gets one final answer by its deadline, and no other",
+        "A query that stays queued receives exactly one final answer by its deadline",
         SchedulerScript("0 list\n5 ask q allow=500\n520 -> reject q\n900 list e1\n1100 -> nothing"),
     ),
     Row(
         "wire-answer-timeout",
         RULE(1, 2),
-        "An attempt that timed out at the deadline is answered in the same step",
+        "A query whose attempt times out at its deadline is rejected in the same step",
         SchedulerScript("0 list e1\n5 ask q allow=400 -> send q\n405 end q timeout -> reject q"),
     ),
     Row(
         "wire-finished-not-sent",
         RULE(1, 3),
-        "Nothing is sent for a query that was answered, or whose client has left",
+        "No attempt is sent for a query that was already answered or whose client has disconnected",
         SchedulerScript(
             "0 list\n5 ask q allow=300; ask r\n300 -> reject q\n310 gone r\n320 list e1 e2 -> nothing\n900 -> nothing"
         ),
@@ -68,13 +68,13 @@
     Row(
         "wire-due-counts",
         RULE(1, 6),
-        "The query's own deadline counts, though its class allows longer",
+        "A query is answered by its own deadline, even where its class allows a longer one",
         SchedulerScript("0 list\n5 ask q allow=400\n280 -> nothing\n410 -> reject q"),
     ),
     Row(
         "wire-safe-repeat",
         RULE(2, 1),
-        "An idempotent query is retried, however its attempts ended",
+        "An idempotent query is retried after any attempt outcome that is not a success",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q reset -> send q\n40 end q timeout -> send q"
         ),
@@ -82,7 +82,7 @@
     Row(
         "wire-safe-refused",
         RULE(2, 1),
-        "and is rejected after attempts that may have run",
+        "An idempotent query may be rejected after attempts that may have run",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q reset -> reject q", features={"max_attempts": 1}
         ),
@@ -91,7 +91,7 @@
         Row(
             f"wire-unsafe-{how}",
             RULE(2, 2),
-            f"A non-idempotent query whose attempt ended as {how} fails, and is not retried",
+            f"A non-idempotent query whose attempt ends with the outcome {how} fails and is not retried",
             SchedulerScript(
                 TWO_ENGINES + f"5 ask q -> send q\n20 end q {how} -> fail q\n900 -> nothing", (LOAD,)
             ),
@@ -102,7 +102,7 @@
         Row(
             f"wire-unsafe-{how}",
             RULE(2, 2),
-            f"A non-idempotent query whose attempt ended as {how} never ran, so it may be retried",
+            f"A non-idempotent query whose attempt ends with the outcome {how} never ran, so it may be retried",
             SchedulerScript(TWO_ENGINES + f"5 ask q -> send q\n20 end q {how} -> send q", (LOAD,)),
         )
         for how in ("full", "connect_failed")
@@ -110,7 +110,7 @@
     Row(
         "wire-unsafe-refused",
         RULE(2, 2),
-        "and may be rejected when each attempt is proven not to have run",
+        "A non-idempotent query may be rejected when every attempt is proven not to have run",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q full -> reject q",
             (LOAD,),
@@ -120,7 +120,7 @@
     Row(
         "wire-unsafe-any-doubt",
         RULE(2, 2),
-        "One attempt that may have run is enough: a later one that never ran changes nothing",
+        "A non-idempotent query fails once any attempt may have run, whichever other attempts never ran",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q full -> send q\n30 end q reset -> fail q", (LOAD,)
         ),
@@ -134,7 +134,7 @@
     Row(
         "wire-keyed-window-over",
         RULE(2, 3),
-        "and not past it, counted from the send",
+        "A query with an idempotency key is not retried after its deduplication window, which starts at the first send",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n1010 end q reset -> reject q\n1500 -> nothing", (WITH_KEY,)
         ),
@@ -143,7 +143,7 @@
         Row(
             f"wire-keyed-{name}",
             RULE(2, 3),
-            f"A query with a key stays in the {name} whose engines deduplicate it, and waits where none is left there",
+            f"A query with an idempotency key is retried only in the {name} that deduplicates it, and waits while that {name} has no engine",
             SchedulerScript(
                 f"0 list e1:{name}=1\n5 ask q -> send q e1\n10 change e2:{name}=2 e1:{name}=1,state=gone"
                 f"\n20 end q reset -> nothing\n40 change e3:{name}=1\n200 -> send q e3",
@@ -155,7 +155,7 @@
     Row(
         "wire-keyed-refusal",
         RULE(2, 3),
-        "One with a limited deduplication scope is not rejected after an attempt that may have run: it fails",
+        "A query that only some engines deduplicate fails, instead of being rejected, after an attempt that may have run",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q reset -> fail q", (CELL,), features={"max_attempts": 1}
         ),
@@ -163,7 +163,7 @@
     Row(
         "wire-keyed-refusal-all",
         RULE(2, 3),
-        "and is rejected where all engines deduplicate it",
+        "A query that all engines deduplicate is rejected after an attempt that may have run",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q reset -> reject q",
             (WITH_KEY,),
@@ -173,7 +173,7 @@
     Row(
         "wire-one-attempt",
         RULE(2, 4),
-        "A query has one attempt in flight at a time, however long it takes",
+        "A query has at most one attempt in flight, however long that attempt takes",
         SchedulerScript(
             TWO_ENGINES + "5 ask q allow=20000 -> send q\n9000 -> nothing", features={"can_cancel": False}
         ),
@@ -182,7 +182,7 @@
         Row(
             f"wire-drain-{state}",
             RULE(3, 1),
-            f"Nothing new is sent to an engine that is listed as {state}, from that step on",
+            f"No new attempt is sent to an engine from the step in which it is listed as {state}",
             SchedulerScript(f"0 list e1\n5 change e1:state={state}; ask q -> nothing\n300 ask r -> nothing"),
         )
         for state in ("draining", "gone")
@@ -190,7 +190,7 @@
     Row(
         "wire-drain-repeat",
         RULE(3, 1),
-        "not even a retry of what ran there",
+        "A query whose attempt ran on a draining engine is not retried on that engine",
         SchedulerScript("0 list e1\n5 ask q -> send q\n10 change e1:state=draining; end q full -> nothing"),
     ),
     Row(
@@ -202,13 +202,13 @@
     Row(
         "wire-cold-budget",
         RULE(4, 5),
-        "A just started engine is sent less than the multiple of its least capacity in the window",
-        Assertion(warming_engine_keeps_its_budget),
+        "A newly started engine receives less work per window than the overload factor times its cold capacity",
+        Assertion(cold_engine_stays_within_its_budget),
     ),
     Row(
         "wire-order-one",
         RULE(5, 1),
-        "Of one ordering key one query runs at a time, in order of arrival; other queries are not delayed",
+        "Queries of one ordering key run one at a time in order of arrival; other queries are not delayed",
         SchedulerScript(
             TWO_ENGINES
             + "5 ask a ordering_key=k; ask b ordering_key=k; ask c ordering_key=j; ask d -> send a, send c, send d\n"
@@ -219,7 +219,7 @@
     Row(
         "wire-order-engines-gone",
         RULE(5, 1),
-        "A query of a key waits also for an attempt whose client has left",
+        "A query waits for an earlier attempt with the same ordering key, even if that attempt's client has disconnected",
         SchedulerScript(
             TWO_ENGINES
             + "5 ask a ordering_key=k; ask b ordering_key=k -> send a\n20 gone a\n200 -> nothing\n210 end a ok -> send b",
@@ -231,7 +231,7 @@
         Row(
             f"wire-order-quiet-{how}",
             RULE(5, 2),
-            f"After {how} its key is quiet for the configured time before the next one is sent",
+            f"After an attempt ends with the outcome {how}, the next query of its ordering key waits for the configured quiet time",
             SchedulerScript(
                 TWO_ENGINES
                 + f"5 ask a ordering_key=k; ask b ordering_key=k -> send a\n100 end a {how} -> fail a\n"
@@ -245,7 +245,7 @@
     Row(
         "wire-order-space",
         RULE(5, 3),
-        "Classes that are ordered by key share their keys",
+        "Classes that are ordered by key share one key space",
         SchedulerScript(
             TWO_ENGINES
             + "5 ask a kind=0 ordering_key=k; ask b kind=1 ordering_key=k -> send a\n50 end a ok -> send b",
@@ -255,7 +255,7 @@
     Row(
         "wire-order-own",
         RULE(5, 6),
-        "A query's own retry does not wait for its key's quiet time",
+        "A retry of a query does not wait for the quiet time that its own attempt started",
         SchedulerScript(
             TWO_ENGINES + "5 ask a ordering_key=k -> send a\n50 end a reset -> send a",
             (replace(ORDERED, idempotency=Idempotency.IDEMPOTENT),),
@@ -265,7 +265,7 @@
     Row(
         "wire-where-zone",
         RULE(6, 1),
-        "A class that names zones is sent nowhere else, nor are its retries",
+        "Queries of a class that names zones, and their retries, are sent only to engines in these zones",
         SchedulerScript(
             "0 list e1:zone=0 e2:zone=1\n5 ask q -> send q e2\n10 change e2:zone=1,state=gone\n"
             "20 end q connect_failed -> nothing\n600 -> nothing",
@@ -275,7 +275,7 @@
     Row(
         "wire-where-model",
         RULE(6, 2),
-        "One that names machine types only may be in any zone",
+        "Queries of a class that names only machine types may be sent to any zone",
         SchedulerScript(
             "0 list e1:machine_type=0 e2:machine_type=1,zone=3\n5 ask q; ask r -> send q e2, send r e2",
             (replace(LOOKUP, machine_types=(1,)),),
@@ -285,7 +285,7 @@
     Row(
         "wire-budget",
         RULE(7, 2),
-        "Retries within the window stay within the free ones and the share of accepted queries",
+        "Retries within the window do not exceed the free retries plus the configured share of accepted queries",
         SchedulerScript(
             "0 list e1 e2 e3\n5 "
             + TEN_QUERIES
@@ -299,7 +299,7 @@
     Row(
         "wire-most-tries",
         "15 Parameters, caps.most_tries",
-        "No more attempts than the settings allow",
+        "A query has no more attempts than the settings allow",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q full -> send q\n30 end q full -> reject q",
             features={"max_attempts": 2},
@@ -308,7 +308,7 @@
     Row(
         "wire-no-cancel",
         "17 Protocol errors, sentence 1",
-        "Nothing is cancelled where the settings do not allow it",
+        "No attempt is cancelled where the settings do not allow cancels",
         SchedulerScript(
             TWO_ENGINES + "5 ask q allow=20000 -> send q\n4000 -> nothing", features={"can_cancel": False}
         ),
@@ -316,7 +316,7 @@
     Row(
         "wire-list-asked",
         "7 Discovery, TAIL",
-        "Where the list has to be polled, it is polled at once, and again after a failure",
+        "Where the engine list has to be polled, it is polled in the first step and again after a failure",
         SchedulerScript(
             "0 list e1 -> subscribe\n10 fails -> nothing\n900 -> subscribe",
             features={"polls_engine_list": True},
@@ -325,7 +325,7 @@
     Row(
         "wire-lapsed",
         "8 Traffic, LAPSED",
-        "Events of a query that is unknown, or has ended, are ignored",
+        "Events of a query that is unknown or has ended are ignored",
         SchedulerScript(TWO_ENGINES + "5 ask q -> send q\n10 end q ok\n20 gone q; gone never -> nothing"),
     ),
 )
