--- a/cottonhold/emulator/__init__.py
+++ b/cottonhold/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of this project: models of what it serves, on loopback, with scripted faults."""
+"""Emulated engines, Consul agent, disk and network with scripted faults, and models of a fleet."""
--- a/cottonhold/emulator/admission_policies.py
+++ b/cottonhold/emulator/admission_policies.py
@@ -1,4 +1,4 @@
-"""Admission policies that the model of overload compares. Times are ms."""
+"""Admission policies that the model of overload compares. Times are in ms."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         self.share, self.has_timeouts = 1.0, False
 
     def on_admitted(self, wait: float, is_timed_out: bool) -> None:
-        """Note timeouts."""
+        """Record timeouts."""
         self.has_timeouts = self.has_timeouts or is_timed_out
 
     def step(self, now: float, instance: Instance) -> None:
@@ -32,7 +32,7 @@
 
 
 class QueueDelay(Policy):
-    """Each instance drops its least dense queued requests while its queue is too old (CoDel)."""
+    """Each instance drops its least dense queued requests while its queueing delay is too long (CoDel)."""
 
     target_ms, interval_ms = 100.0, 500.0
 
@@ -57,10 +57,10 @@
 
 
 class Credits(Policy):
-    """Each instance gets a part of the capacity by its demand, and fills it with its own densest."""
+    """Each instance gets a share of the capacity by its demand, and admits its own densest requests."""
 
     def step(self, now: float, instance: Instance) -> None:
-        """Set the threshold by what all instances report."""
+        """Set the threshold by the demand that all instances report."""
         world = instance.world
         own_rates = instance.demand.demand.rates(now)
         members = range(1, len(world.instances) + 1)
@@ -71,9 +71,9 @@
 
 
 class SharedThreshold(Policy):
-    """All instances have one threshold, by what all report."""
+    """All instances have one threshold, computed from the demand that all report."""
 
     def admits(self, instance: Instance, request: Request, step: int) -> bool:
-        """Whether the request passes the threshold."""
+        """Return whether the request passes the threshold."""
         threshold = instance.demand.threshold
         return threshold is None or threshold.admits(step, request.draw)
--- a/cottonhold/emulator/consul/__init__.py
+++ b/cottonhold/emulator/consul/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for Consul, from its published HTTP API."""
+"""An emulated Consul agent, written from Consul's published HTTP API."""
--- a/cottonhold/emulator/consul/catalog.py
+++ b/cottonhold/emulator/consul/catalog.py
@@ -1,4 +1,4 @@
-"""Consul's catalogue as a model: nodes, services and checks under one growing index. Knows no socket.
+"""A model of Consul's catalogue: nodes, services and checks under one growing index, without any sockets.
 
 From the published pages on the agent's service, check and maintenance endpoints, the catalogue and health
 endpoints, and blocking queries. Times are seconds on the caller's clock.
@@ -29,7 +29,7 @@
 
 
 class Catalog:
-    """One datacentre, with one agent that calls are made to. `on_changed` is called after each change."""
+    """One datacentre with one agent that receives the calls; `on_changed` is called after each change."""
 
     def __init__(self, now: Callable[[], float], datacenter: str = "dc1", agent: str = "agent-1") -> None:
         self.now, self.datacenter, self.agent = now, datacenter, agent
@@ -61,7 +61,7 @@
             node.meta = node.meta if meta is None else meta
 
     def put_service(self, node: str, body: Json) -> Service:
-        """Register an instance, or change the one of that id. Raises ApiError."""
+        """Register an instance, or change the one with its id. Raises ApiError."""
         name = body.get("Name") or body.get("Service")
         if not isinstance(name, str) or not name:
             raise ApiError(400, "Missing service name")
@@ -98,7 +98,7 @@
         return True
 
     def remove_node(self, name: str) -> None:
-        """Remove a node with all that runs on it."""
+        """Remove a node with its services and checks."""
         services = self._services_on(name)
         self.nodes.pop(name, None)
         for table in (self.services, self.checks):
@@ -141,7 +141,7 @@
         return check
 
     def remove_check(self, node: str, check_id: str) -> None:
-        """Remove a check. Raises ApiError where there is none."""
+        """Remove a check. Raises ApiError if it does not exist."""
         check = self._check(node, check_id)
         del self.checks[node, check_id]
         self._modify(check)
@@ -153,7 +153,7 @@
         if check.ttl_s:
             check.expires_at = self.now() + check.ttl_s
         if (new_status, output) == (check.status, check.output):
-            return  # Consul does not sync what has not changed, and no watcher wakes
+            return  # Consul does not sync an unchanged status, so no blocking query returns
         check.set_status(self.now(), new_status, output)
         self._modify(check)
 
@@ -177,7 +177,7 @@
             self.remove_check(node, check_id)
 
     def expire(self) -> float:
-        """End TTLs, and remove services that were critical for too long; return when to call it next."""
+        """Expire TTLs, and remove services that were critical for too long; return when to call it again."""
         now = self.now()
         for check in list(self.checks.values()):
             if check.expires_at <= now:
@@ -190,14 +190,14 @@
         return min((min(c.expires_at, c.deregister_at()) for c in self.checks.values()), default=math.inf)
 
     def node_of(self, service_id: str) -> str:
-        """The node on which an instance runs. Raises ApiError."""
+        """Return the node on which an instance runs. Raises ApiError."""
         for node, service in self.services:
             if service == service_id:
                 return node
         raise ApiError(404, f'Unknown service ID "{service_id}"')
 
     def check_of(self, service_id: str) -> tuple[str, str]:
-        """The node and id of an instance's check, not one of maintenance. Raises ApiError."""
+        """Return the node and id of an instance's check other than maintenance. Raises ApiError."""
         service_node = self.node_of(service_id)
         for (node, check_id), check in self.checks.items():
             if node == service_node and check.service_id == service_id and not check_id.startswith("_"):
@@ -205,7 +205,7 @@
         raise ApiError(404, f'"{service_id}" has no check')
 
     def health_rows(self, name: str) -> list[Json]:
-        """All instances of a service with the checks of node and service, as /v1/health/service."""
+        """Return all instances of a service with their checks, in the form of /v1/health/service."""
         checks_by_node: dict[str, list[Check]] = {}
         for check in self.checks.values():
             checks_by_node.setdefault(check.node, []).append(check)
@@ -222,7 +222,7 @@
         return rows
 
     def service_rows(self, name: str) -> list[Json]:
-        """All instances of a service, as /v1/catalog/service."""
+        """Return all instances of a service, in the form of /v1/catalog/service."""
         rows = []
         for service in self._instances_of(name):
             shown = service.to_json()
@@ -239,7 +239,7 @@
         return rows
 
     def service_index(self, name: str) -> int:
-        """The index that a blocking query on a service waits for."""
+        """Return the index that a blocking query on a service compares with its own."""
         return self.indexes.get(name, self.index if not self.indexes else max(self.indexes.values()))
 
     def _instances_of(self, name: str) -> list[Service]:
@@ -257,7 +257,7 @@
         return check
 
     def _next_index(self, *services: str) -> int:
-        """Count a change, which the health of these services shows."""
+        """Increase the index after a change that affects the health of these services."""
         self.index += 1
         for name in services:
             self.indexes[name] = self.index
@@ -265,7 +265,7 @@
         return self.index
 
     def _modify(self, check: Check) -> None:
-        """A check has changed."""
+        """Record the change of a check."""
         services = [check.service_name] if check.service_id else self._services_on(check.node)
         check.modify_index = self._next_index(*services)
 
--- a/cottonhold/emulator/consul/changes.py
+++ b/cottonhold/emulator/consul/changes.py
@@ -1,4 +1,4 @@
-"""What the write endpoints change in a catalogue."""
+"""The changes that the write endpoints make in a catalogue."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def apply_change(catalog: Catalog, path: list[str], query: dict[str, str], body: Json) -> Any:
-    """Carry out a PUT; return the response's value. Raises ApiError."""
+    """Execute a PUT; return the response's value. Raises ApiError."""
     agent = catalog.agent
     match path:
         case ["agent", "service", "register"]:
--- a/cottonhold/emulator/consul/entries.py
+++ b/cottonhold/emulator/consul/entries.py
@@ -15,7 +15,7 @@
 
 
 class CheckStatus(StrEnum):
-    """A check's status, as responses show it."""
+    """A check's status, as written in responses."""
 
     PASSING = "passing"
     WARNING = "warning"
@@ -23,7 +23,7 @@
 
 
 class ApiError(Exception):
-    """A call that can't be carried out: the status and the text of its response."""
+    """A call that cannot be executed, with the status and the text of its response."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -31,7 +31,7 @@
 
 
 def parse_duration(text: str) -> float:
-    """Seconds of a duration as in 10s, 1m30s or 500ms. Raises ApiError."""
+    """Return the seconds of a duration such as 10s, 1m30s or 500ms. Raises ApiError."""
     parts = DURATION.findall(text)
     if not parts or "".join(number + unit for number, unit in parts) != text:
         raise ApiError(400, f"Invalid duration: {text!r}")
@@ -49,7 +49,7 @@
     modify_index: int = 0
 
     def to_json(self, datacenter: str) -> Json:
-        """The node as responses show it."""
+        """Return the node in the form of responses."""
         return {
             "ID": str(uuid.uuid5(uuid.NAMESPACE_DNS, self.name)),
             "Node": self.name,
@@ -78,7 +78,7 @@
     modify_index: int = 0
 
     def to_json(self) -> Json:
-        """The instance as health responses show it."""
+        """Return the instance in the form of health responses."""
         return {
             "ID": self.id,
             "Service": self.name,
@@ -93,7 +93,7 @@
         }
 
     def to_agent_json(self) -> Json:
-        """The instance as the agent shows its own."""
+        """Return the instance in the form of the agent's own list."""
         row = {key: value for key, value in self.to_json().items() if not key.endswith("Index")}
         return row | {"ContentHash": "0"}
 
@@ -123,7 +123,7 @@
     modify_index: int = 0
 
     def to_json(self) -> Json:
-        """The check as responses show it."""
+        """Return the check in the form of responses."""
         return {
             "Node": self.node,
             "CheckID": self.id,
@@ -140,11 +140,11 @@
         }
 
     def set_status(self, now: float, status: CheckStatus, output: str) -> None:
-        """Set a status and its output, and note since when it is critical."""
+        """Set a status and its output, and record since when it is critical."""
         if status is not self.status:
             self.critical_since = now if status is CheckStatus.CRITICAL else math.inf
         self.status, self.output = status, output
 
     def deregister_at(self) -> float:
-        """When its service is removed unless the status changes."""
+        """Return when the check's service is removed unless the status changes."""
         return self.critical_since + self.deregister_after_s
--- a/cottonhold/emulator/consul/faults.py
+++ b/cottonhold/emulator/consul/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a script has switched on."""
+"""The faults that a script has activated."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from cottonhold.emulator.consul.script import FaultKind
 
-# Watchers meet these at once, not at the end of their wait.
+# These faults interrupt blocking queries instead of waiting for their end.
 INTERRUPTING = (
     FaultKind.CUT,
     FaultKind.TRUNCATE,
@@ -30,32 +30,32 @@
         self._active: dict[FaultKind, tuple[float, tuple[str, ...]]] = {}  # end and arguments
 
     def start(self, kind: FaultKind, duration_s: float, arguments: tuple[str, ...]) -> None:
-        """Switch a fault on."""
+        """Activate a fault."""
         self._active[kind] = (self.now() + duration_s, arguments)
 
     def clear(self) -> None:
-        """Switch all off."""
+        """Deactivate all faults."""
         self._active.clear()
 
     def arguments(self, kind: FaultKind) -> tuple[str, ...] | None:
-        """A fault's arguments; None if it is off."""
+        """Return a fault's arguments; None if it is not active."""
         expires_at, arguments = self._active.get(kind, (0.0, ()))
         return arguments if expires_at > self.now() else None
 
     def is_active(self, kind: FaultKind) -> bool:
-        """Whether a fault is on."""
+        """Return whether a fault is active."""
         return self.arguments(kind) is not None
 
     def remaining_s(self, kind: FaultKind) -> float:
-        """Seconds until a fault that was on ends."""
+        """Return the seconds until an active fault ends."""
         return max(self._active[kind][0] - self.now(), 0)
 
     def interrupts_watchers(self) -> bool:
-        """Whether a fault is on that ends blocking queries."""
+        """Return whether a fault is active that interrupts blocking queries."""
         return any(self.is_active(kind) for kind in INTERRUPTING)
 
     def corrupt(self, body: bytes) -> bytes:
-        """A health response's body as the faults change it."""
+        """Return a health response's body with the active faults applied."""
         if self.is_active(FaultKind.GARBAGE):
             return b'[{"Node":{"Node":\xff\xfe' + body[:40]
         if self.is_active(FaultKind.EMPTY):
--- a/cottonhold/emulator/consul/filters.py
+++ b/cottonhold/emulator/consul/filters.py
@@ -17,7 +17,7 @@
 
 
 def matches(row: Json, expression: str) -> bool:
-    """Whether a row passes a filter. Raises ApiError for what isn't supported."""
+    """Return whether a row passes a filter. Raises ApiError for an unsupported expression."""
     position = 0
     while True:
         term = TERM.match(expression, position)
--- a/cottonhold/emulator/consul/http.py
+++ b/cottonhold/emulator/consul/http.py
@@ -1,4 +1,4 @@
-"""HTTP requests as the stand-in receives them, and its responses."""
+"""HTTP requests to the emulated agent, and its responses."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """A response, before the faults of its connection."""
+    """A response, before the faults of its connection are applied."""
 
     status: int
     body: bytes
@@ -53,7 +53,7 @@
 
 
 def json_response(value: Any) -> Response:
-    """A response with a value, or with an empty body for None."""
+    """Return a response with a JSON value, or with an empty body for None."""
     return Response(200, b"" if value is None else json.dumps(value).encode())
 
 
@@ -66,32 +66,32 @@
         self.headers: dict[str, str] = {}
 
     def on_url(self, url: bytes) -> None:
-        """A part of the URL was read."""
+        """Append a part of the URL; called by the parser."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header was read."""
+        """Store a header; called by the parser."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body was read."""
+        """Append a part of the body; called by the parser."""
         self._body += data
 
     def on_message_complete(self) -> None:
-        """All of the call was read."""
+        """Mark the call as complete; called by the parser."""
         self.is_complete = True
 
     @property
     def url(self) -> str:
-        """The URL with its query."""
+        """Return the URL with its query."""
         return self._url.decode()
 
     def text(self) -> str:
-        """The body as text."""
+        """Return the body as text."""
         return self._body.decode()
 
     def decode_body(self) -> Json:
-        """The body's JSON object, its keys as Consul's pages write them. Raises ApiError."""
+        """Return the body's JSON object with keys as in Consul's documentation. Raises ApiError."""
         try:
             body = json.loads(bytes(self._body) or b"{}")
         except ValueError as error:
@@ -103,7 +103,7 @@
 
 
 def _canonical_keys(body: Any) -> Any:
-    """Agents accept keys in any case, and py-consul sends them in lower case."""
+    """Return a value with canonical keys; agents accept any case, and py-consul sends lower case."""
     if isinstance(body, list):
         return [_canonical_keys(inner) for inner in body]
     if not isinstance(body, dict):
@@ -113,7 +113,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> Request | None:
-    """The next call of a connection; None at its end. Raises HttpParserError."""
+    """Return the next call of a connection; None at its end. Raises HttpParserError."""
     request = Request()
     parser = httptools.HttpRequestParser(request)
     while not request.is_complete:
--- a/cottonhold/emulator/consul/queries.py
+++ b/cottonhold/emulator/consul/queries.py
@@ -1,4 +1,4 @@
-"""What the read endpoints show of a catalogue."""
+"""The responses of the read endpoints to a catalogue."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def unknown_endpoint(path: list[str]) -> ApiError:
-    """The error for a path that the stand-in does not know."""
+    """Return the error for a path that the emulated agent does not support."""
     return ApiError(404, "unknown: " + "/".join(path))
 
 
 def agent_query(catalog: Catalog, path: list[str], has_leader: bool) -> Any:
-    """The value at an endpoint of the agent or the server's status. Raises ApiError."""
+    """Return the value at an endpoint of the agent or the server's status. Raises ApiError."""
     agent = catalog.agent
     match path:
         case ["status", "leader"]:
@@ -39,14 +39,14 @@
 
 
 def index_of(catalog: Catalog, path: list[str]) -> int:
-    """The index that a blocking query on a health or catalogue endpoint waits for."""
+    """Return the index that a blocking query on a health or catalogue endpoint compares with its own."""
     if path[:2] in (["health", "service"], ["catalog", "service"]):
         return catalog.service_index(path[2])
     return catalog.index
 
 
 def rows_of(catalog: Catalog, path: list[str], query: dict[str, str]) -> Any:
-    """The rows at a health or catalogue endpoint, not filtered yet. Raises ApiError."""
+    """Return the unfiltered rows at a health or catalogue endpoint. Raises ApiError."""
     match path:
         case ["health", "service", name]:
             return _health_rows(catalog, name, query)
--- a/cottonhold/emulator/consul/response_writer.py
+++ b/cottonhold/emulator/consul/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes responses to a connection, those of health queries with the faults that are on."""
+"""Writes responses to a connection, and applies the active faults to those of health queries."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 async def write_watched_response(
     writer: asyncio.StreamWriter, response: Response, faults: ActiveFaults
 ) -> bool:
-    """Write a response to a health query; return whether the connection goes on."""
+    """Write a response to a health query; return whether the connection stays open."""
     body, headers = response.body, dict(response.headers)
     if response.status == 200:
         if faults.is_active(FaultKind.HANG):
@@ -63,7 +63,7 @@
 
 
 async def _drip(writer: asyncio.StreamWriter, body: bytes, faults: ActiveFaults) -> bool:
-    """Write one byte after another while the fault lasts; return whether all were written."""
+    """Write single bytes with pauses while the fault is active; return whether all were written."""
     for position in range(len(body)):
         writer.write(body[position : position + 1])
         await writer.drain()
--- a/cottonhold/emulator/consul/script.py
+++ b/cottonhold/emulator/consul/script.py
@@ -18,7 +18,7 @@
 
 
 class FaultKind(StrEnum):
-    """Faults of a script, each for a time."""
+    """Kinds of faults in a script; each has a duration."""
 
     HANG = "hang"
     CUT = "cut"
@@ -35,7 +35,7 @@
 
 
 class ChangeKind(StrEnum):
-    """Changes of a script."""
+    """Kinds of changes of the catalogue in a script."""
 
     CRITICAL = "critical"
     WARNING = "warning"
@@ -59,12 +59,12 @@
 
 
 class ScriptError(Exception):
-    """A line that can't be used, with its number."""
+    """An invalid line, with its number."""
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One line: when, what, its arguments, and for how long (faults only)."""
+    """One line of a script: time, kind, arguments, and for faults the duration."""
 
     at_s: float
     kind: FaultKind | ChangeKind
@@ -73,7 +73,7 @@
 
 
 def parse(text: str) -> list[Step]:
-    """All steps in order of time. Raises ScriptError."""
+    """Return all steps of a script in order of time. Raises ScriptError."""
     steps = []
     for number, line in enumerate(text.splitlines(), 1):
         fields = line.split("#")[0].split()
--- a/cottonhold/emulator/consul/server.py
+++ b/cottonhold/emulator/consul/server.py
@@ -33,13 +33,13 @@
 DEFAULT_WAIT, MAX_WAIT_S = "300s", 600.0
 MAX_EXPIRY_INTERVAL_S, MIN_EXPIRY_INTERVAL_S = 0.25, 0.01
 MIN_WAIT_S = 0.001
-WAIT_JITTER = 1 / 16  # of the wait, as Consul adds
+WAIT_JITTER = 1 / 16  # share of the wait that Consul adds as jitter
 MAX_PAST_RESPONSES, MAX_CALLS = 2000, 10_000
 
 
 @dataclass(slots=True, frozen=True)
 class PastResponse:
-    """What a read endpoint showed at a time, for stale reads."""
+    """The response of a read endpoint at an earlier time, for stale reads."""
 
     at: float
     endpoint: str
@@ -66,13 +66,13 @@
         self._cached_bodies: dict[str, tuple[int, bytes]] = {}  # by query: index and body
 
     def now(self) -> float:
-        """Seconds since the start."""
+        """Return the seconds since the start."""
         return time.monotonic() - self.started_at
 
     async def start(
         self, host: str = "127.0.0.1", port: int = 0, context: ssl.SSLContext | None = None
     ) -> int:
-        """Listen, and let checks expire; return the port."""
+        """Start to listen and to expire checks; return the port."""
         port = await super().start(host, port, context)
         self.spawn(self._expire_checks())
         return port
@@ -84,7 +84,7 @@
             await asyncio.sleep(min(delay_s, MAX_EXPIRY_INTERVAL_S))
 
     def play(self, steps: list[Step]) -> None:
-        """Carry a script out, its times counted from now."""
+        """Run a script, with its times relative to now."""
         self.spawn(self._play(steps, self.now()))
 
     async def _play(self, steps: list[Step], started_at: float) -> None:
@@ -96,7 +96,7 @@
                 print(f"script: {step.kind} {' '.join(step.args)}: {error}", file=sys.stderr, flush=True)
 
     def apply(self, step: Step) -> None:
-        """Carry out one step of a script. Raises ApiError if it names something unknown."""
+        """Run one step of a script. Raises ApiError if it names something unknown."""
         if isinstance(step.kind, FaultKind):
             self.faults.start(step.kind, step.duration_s, step.args)
             self._wake()
@@ -125,7 +125,7 @@
                 self.is_token_revoked = False
 
     def add_engine(self, service_id: str, address: str, service: str = "engine", **meta: str) -> None:
-        """Register an instance with a check of its own, as an engine's agent would."""
+        """Register an instance with a check, as an engine's agent does."""
         host, _, port = address.rpartition(":")
         body = {"ID": service_id, "Name": service, "Address": host, "Port": int(port), "Meta": meta}
         entry = self.catalog.put_service(self.catalog.agent, body)
@@ -133,14 +133,14 @@
         self.catalog.put_check(self.catalog.agent, check, entry)
 
     def _wake(self) -> None:
-        """Let all blocking queries look again."""
+        """Wake all blocking queries, so that they check the index again."""
         waiting, self.waiting = self.waiting, set()
         for future in waiting:
             if not future.done():
                 future.set_result(None)
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection, call by call."""
+        """Serve the calls of one connection until it ends."""
         while (request := await read_request(reader)) is not None:
             response = await self._respond(request)
             if "/v1/health/service" not in request.url:
@@ -192,7 +192,7 @@
         return json_response(agent_query(self.catalog, path[1:], self._has_leader()))
 
     async def _read(self, path: list[str], query: dict[str, str]) -> Response:
-        """Respond to a query, which may be blocking."""
+        """Return the response to a query, which may be blocking."""
         if query.get("dc", self.catalog.datacenter) != self.catalog.datacenter:
             raise ApiError(500, "No path to datacenter")
         await self._wait_for_change(path, query)
@@ -218,7 +218,7 @@
         return Response(200, body, headers)
 
     async def _wait_for_change(self, path: list[str], query: dict[str, str]) -> None:
-        """Wait until the index passes the one in a blocking query, its wait is over, or a fault is on."""
+        """Wait until the index exceeds a blocking query's, its wait ends, or a fault interrupts it."""
         known_index = int(query.get("index") or 0)
         wait_s = min(parse_duration(query.get("wait") or DEFAULT_WAIT), MAX_WAIT_S)
         deadline = self.now() + wait_s + self.draw.random() * wait_s * WAIT_JITTER
@@ -235,7 +235,7 @@
                 self.waiting.discard(future)
 
     def _response_before(self, endpoint: str, at: float) -> PastResponse | None:
-        """The last response of an endpoint up to a time."""
+        """Return the last response of an endpoint up to a time."""
         earlier = [past for past in self._past_responses if past.endpoint == endpoint and past.at <= at]
         return earlier[-1] if earlier else None
 
@@ -251,7 +251,7 @@
 
 
 def run(listen: str, script: Path | None, token: str) -> int:
-    """Serve until SIGTERM; return the exit code, which is 2 for a script that can't be used."""
+    """Serve until SIGTERM; return the exit code, which is 2 for an invalid script."""
     try:
         steps = parse(script.read_text(encoding="utf-8")) if script else []
     except (OSError, ScriptError) as error:
--- a/cottonhold/emulator/credit_account.py
+++ b/cottonhold/emulator/credit_account.py
@@ -1,7 +1,4 @@
-"""Credits saved over time for sends within an instance's engine bounds, as the scheduler does it.
-
-Times are ms.
-"""
+"""Credits that limit an instance's sends to its engine bounds, as in the scheduler. Times are in ms."""
 
 from __future__ import annotations
 
@@ -9,19 +6,22 @@
 
 from cottonhold.fleet.engine_bounds import EngineBounds
 
-MAX_CREDIT_MS = 250.0  # of a bound that may be saved
+MAX_CREDIT_MS = 250.0  # time for which unused credits of a bound accumulate
 ROTATION_INTERVAL_MS = 2000.0
-GOLDEN_RATIO = 0.6180339887  # spreads instances evenly over (0, 1)
-PLASTIC_RATIO = 0.7548  # and engines
+GOLDEN_RATIO = 0.6180339887  # its multiples modulo 1 spread instances evenly
+PLASTIC_RATIO = 0.7548  # its multiples modulo 1 spread engines evenly
 MIN_NEEDED_SHARE = 1e-3
 
 
 @dataclass(slots=True)
 class CreditAccount:
-    """The credits that one instance has saved under its bounds.
+    """The unused credits of one instance under its bounds.
 
-    credits: by engine, work in ms and when it was counted. number: of the instance. is_warming_up: the
-    engines are under slow start.
+    Attributes:
+        number: Number of the instance.
+        is_warming_up: Whether the engines are under slow start.
+        bounds: Work rate permitted at each engine, and when this expires.
+        credits: By engine: unused work in ms, and the time of its last update.
     """
 
     number: int
@@ -30,7 +30,7 @@
     credits: dict[str, tuple[float, float]] = field(default_factory=dict)
 
     def allows(self, now: float, engine: str, engine_number: int, work_ms: float) -> bool:
-        """Whether a query of so much work may go to an engine now."""
+        """Return whether a query of this work may be sent to an engine now."""
         bound = self.bounds.work_rates.get(engine)
         if bound is None:
             return True
@@ -39,13 +39,13 @@
         saved, counted_at = self.credits.get(engine, (0.0, now))
         saved = min(max(bound * MAX_CREDIT_MS, work_ms), saved + bound * (now - counted_at))
         self.credits[engine] = saved, now
-        # Of many instances whose credits are less than a query, only a few may begin at a time.
+        # If many instances have less credit than a query needs, only a few of them may start one at a time.
         rotation = 0 if self.is_warming_up else now // ROTATION_INTERVAL_MS
         position = (engine_number * PLASTIC_RATIO + (self.number + rotation) * GOLDEN_RATIO) % 1
         return saved >= max(work_ms * position, MIN_NEEDED_SHARE)
 
     def set_bounds(self, now: float, bounds: EngineBounds) -> None:
-        """Apply new bounds; at warming engines, credits until now were saved under the former ones."""
+        """Apply new bounds; for warming engines, first add the credits due under the former ones."""
         former, self.bounds = self.bounds, bounds
         for engine, rate in former.work_rates.items() if self.is_warming_up else ():
             saved, counted_at = self.credits.get(engine, (0.0, now))
@@ -53,7 +53,7 @@
             self.credits[engine] = saved, now
 
     def spend(self, engine: str, work_ms: float) -> None:
-        """Count a query that was sent to an engine."""
+        """Subtract the work of a query that was sent to an engine."""
         if engine in self.bounds.work_rates:
             saved, counted_at = self.credits[engine]
             self.credits[engine] = saved - work_ms, counted_at
--- a/cottonhold/emulator/disk.py
+++ b/cottonhold/emulator/disk.py
@@ -1,4 +1,4 @@
-"""The lossy disk as a VFS of SQLite's, and under the store's small files."""
+"""The lossy disk as a VFS (virtual file system) of SQLite and as the storage of the store's small files."""
 
 from __future__ import annotations
 
@@ -14,50 +14,50 @@
 
 
 class DiskFiles(store_files.Files):
-    """The store's small files on this disk."""
+    """The store's small files on a lossy disk."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
 
     def read(self, path: Path) -> bytes | None:
-        """See Files."""
+        """Return a file's content; None if it does not exist."""
         self.disk.start_read()
         node = self.disk.node(path)
         return None if node is None else bytes(node.content)
 
     def size(self, path: Path) -> int:
-        """See Files."""
+        """Return a file's size in bytes; 0 if it does not exist."""
         self.disk.start_read()
         node = self.disk.node(path)
         return 0 if node is None else len(node.content)
 
     def names(self, folder: Path) -> list[str]:
-        """See Files."""
+        """Return the sorted names of a folder's files."""
         self.disk.start_read()
         on_real_disk = {name for name in os.listdir(folder) if folder / name not in self.disk.removed}
         return sorted(on_real_disk | {path.name for path in self.disk.nodes if path.parent == folder})
 
     def append(self, path: Path, content: bytes, *, truncate: bool = False) -> None:
-        """See Files."""
+        """Append to a file, after its content is removed if `truncate` is set."""
         node = self.disk.open(path)
         if truncate and node.content:
             self.disk.truncate(node, 0)
         self.disk.write(node, len(node.content), content)
 
     def sync(self, path: Path) -> None:
-        """See Files."""
+        """Make a file's content durable."""
         self.disk.sync(self.disk.open(path))
 
     def move(self, old: Path, new: Path) -> None:
-        """See Files."""
+        """Rename a file."""
         self.disk.move(old, new)
 
     def remove(self, path: Path) -> None:
-        """See Files."""
+        """Remove a file."""
         self.disk.remove(path)
 
     def sync_folder(self, folder: Path) -> None:
-        """See Files."""
+        """Make the moves and removals of files durable."""
         self.disk.sync_names()
 
 
@@ -66,7 +66,7 @@
 
 
 class _File:
-    """SQLite's view of one file. The folder's own lock guards it, so SQLite's locks do nothing."""
+    """A file as SQLite uses it. The folder has its own lock, so SQLite's locks do nothing."""
 
     def __init__(self, disk: Disk, node: Node) -> None:
         self.disk, self.node = disk, node
@@ -109,7 +109,7 @@
         return 4096
 
     def xDeviceCharacteristics(self) -> int:  # noqa: N802
-        # As the operating system's VFS: a torn write harms no byte outside it.
+        # Like the operating system's VFS: a torn write changes no byte outside its range.
         return apsw.SQLITE_IOCAP_POWERSAFE_OVERWRITE
 
     def xClose(self) -> None:  # noqa: N802
@@ -117,14 +117,14 @@
 
 
 class DiskVFS(apsw.VFS):
-    """SQLite's files on a Disk; all else is the operating system's."""
+    """A VFS that keeps files on a Disk and leaves everything else to the operating system."""
 
     def __init__(self, name: str, disk: Disk) -> None:
         self.disk = disk
         super().__init__(name, base="")
 
     def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> _File:  # type: ignore[override]  # noqa: N802
-        """Open a file; one without a name is a temporary file that nothing else sees."""
+        """Open a file; one without a name is a temporary file of its own."""
         if name is None:
             return _File(Disk(), Node(bytearray(), Path()))
         path = Path(name.filename() if isinstance(name, apsw.URIFilename) else name)
@@ -141,7 +141,7 @@
             raise _sqlite_error(error) from error
 
     def xAccess(self, pathname: str, flags: int) -> bool:  # noqa: N802
-        """Whether the file exists."""
+        """Return whether the file exists."""
         return self.disk.node(Path(pathname)) is not None
 
 
--- a/cottonhold/emulator/engine.py
+++ b/cottonhold/emulator/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in engine: speaks the engines' protocol, answers each query with one row, and counts its runs."""
+"""An emulated engine: it speaks the engines' protocol, answers queries with one row and counts its runs."""
 
 from __future__ import annotations
 
@@ -17,8 +17,10 @@
 class StandInEngine(Listener):
     """One engine.
 
-    runs: number of executions by request id. arrivals: when each request arrived (time.monotonic).
-    health_checks: when each arrived, and its port: one port is one dispatcher.
+    Attributes:
+        runs: Number of executions by request id.
+        arrivals: Time of each request's arrival (time.monotonic).
+        health_checks: Time of each health check, and its sender's port, which identifies the dispatcher.
     """
 
     expected_errors = (*Listener.expected_errors, RespError)
@@ -73,7 +75,7 @@
 
 
 async def _register(agent: str, engine_id: str, service: str, address: tuple[str, int]) -> None:
-    """Register at an agent with a TTL check and keep it passing."""
+    """Register at a Consul agent with a TTL check, and keep the check passing."""
     host, _, port = agent.rpartition(":")
     started_at_ms = str(int(time.time() * 1000))
     body = {
@@ -93,7 +95,7 @@
 
 
 async def _put(host: str, port: int, path: str, body: dict[str, Any]) -> int:
-    """The status of a PUT's response; 0 if there was none."""
+    """Send a PUT; return the status of its response, 0 if there was none."""
     data = json.dumps(body).encode()
     try:
         reader, writer = await asyncio.open_connection(host, port)
--- a/cottonhold/emulator/engine_replacement.py
+++ b/cottonhold/emulator/engine_replacement.py
@@ -1,8 +1,8 @@
-"""A rolling replacement of engines in virtual time: dispatchers that send, drain, report and restart.
+"""A model of a rolling replacement of engines in virtual time, with dispatchers that send, drain and restart.
 
-It adds engines and requests to the model of rolling_replacement.py. All requests are loads, since others may
-be retried: one runs at its engine until it ends, its dispatcher dies, or the engine is powered off, which
-operators do once they read that it is out. Times are ms.
+It adds engines and requests to the model of rolling_replacement.py. All requests are loads, since other
+queries may be retried. A load runs until it ends, its dispatcher dies, or its engine is powered off, which
+operators do after they are notified that the engine is out. Times are in ms.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 SETTINGS = DrainSettings()
 ENGINE_COUNT = 3
 LIVENESS_CHECK_MS = 15.0
-REQUEST_END_PROBABILITY = 0.35  # at an engine in a tick
-WARMUP_MS = 1500.0  # until a new engine takes its full traffic share
+REQUEST_END_PROBABILITY = 0.35  # chance per tick that requests at an engine end
+WARMUP_MS = 1500.0  # time until a new engine receives its full share of the traffic
 WARMING_SHARE = 0.3
-MAX_DUPLICATE_DELAY_MS = 3000.0  # of a drain report that arrives twice
-RESTART_NOTICE_MS = 15_000.0  # until operators read that an engine they restarted is still out
+MAX_DUPLICATE_DELAY_MS = 3000.0  # maximum delay of the duplicate of a drain report
+RESTART_NOTICE_MS = 15_000.0  # time until operators notice that an engine they restarted is still out
 FINAL_CHECK_TICKS = 100
 
 
@@ -59,25 +59,25 @@
 
 @dataclass(slots=True, eq=False)
 class EngineView:
-    """What a dispatcher's process knows of engines."""
+    """A dispatcher process's state of engines and their drains."""
 
     drains: EngineDrains
     startup_gate: StartupGate
     withheld: set[str] = field(default_factory=set)
-    is_waiting: bool = True  # sends nothing until the gate opens
+    is_waiting: bool = True  # no requests are sent until the gate opens
 
     def on_report(self, now: float, data: bytes) -> None:
-        """Another dispatcher's drain report has arrived."""
+        """Process another dispatcher's drain report."""
         self.drains.on_message(now, data)
 
 
 class EngineInvariants(ReplacementInvariants):
-    """The rules for replaced engines, in addition to those for dispatchers."""
+    """The invariants of replaced engines, in addition to those of dispatchers."""
 
     fleet: EngineWorld
 
     def on_register_changed(self, name: str, before: bytes, after: bytes) -> None:
-        """A register has got another value."""
+        """Check a register's new value."""
         machine = next((m for m in self.fleet.engines if register_name(m) == name), "")
         record = decode_record(after) if machine else None
         old_record = decode_record(before) if machine else None
@@ -95,20 +95,20 @@
         self.notify_listeners(machine, record)
 
     def _check_idle(self, machine: str) -> None:
-        """No request of a live dispatcher is at an engine that goes out."""
+        """Check that no request of a live dispatcher runs at an engine that is taken out."""
         for (name, incarnation), count in self.fleet.engines[machine].in_flight.items():
             host = self.fleet.hosts[name]
             if count and host.is_up and host.incarnation == incarnation:
                 self.breach(f"{machine} is OUT with {count} requests of {name}")
 
     def _check_replaced(self, machine: str, record: MachineRecord) -> None:
-        """A new engine is up in the place of one whose replacement is said to be there."""
+        """Check that a new engine is up if a record reports that the replacement has arrived."""
         engine = self.fleet.engines.get(record.replacement)
         if engine is None or not engine.is_up or engine.started_at <= 0:
             self.breach(f"{machine} is IN_PLACE, and nobody has put a new one there")
 
     def check_at_end(self, *names: str) -> None:
-        """After the replacements of these engines: each has ended, and what is in its place gets requests."""
+        """Check that the replacements of these engines have ended and that the engines get requests."""
         fleet = self.fleet
         received = {name: engine.received for name, engine in fleet.engines.items()}
         fleet.run(fleet.now + FINAL_CHECK_TICKS * TICK_MS)
@@ -124,10 +124,11 @@
 
 
 class EngineWorld(ReplacementWorld):
-    """Dispatchers d0, d1, ... and engines x0, x1, x2, one a zone.
+    """Dispatchers d0, d1, ... and engines x0, x1, x2, one in each zone.
 
-    power_off_delay_ms: from the notice to operators until an engine is powered off. hardware_delay_ms: from
-    then until the new one is there.
+    Attributes:
+        power_off_delay_ms: Time from the notification of operators until an engine is powered off, in ms.
+        hardware_delay_ms: Time from the power-off until the new engine starts, in ms.
     """
 
     invariants: EngineInvariants
@@ -149,7 +150,7 @@
         super().__init__(seed, host_count, network_faults)
 
     def make_invariants(self) -> EngineInvariants:
-        """The rules that this world is checked against."""
+        """Return the invariants that this model is checked against."""
         return EngineInvariants(self)
 
     def _start_coordinator(self, host: Host) -> None:
@@ -189,7 +190,7 @@
         self._send_requests(host)
 
     def _engine_records(self, host: Host) -> Mapping[str, MachineRecord]:
-        """The records of engines that a host knows."""
+        """Return the records of engines that a host knows."""
         assert host.coordinator is not None
         records = host.coordinator.view.records
         return {n: r for n, r in records.items() if r.has_flag(MachineFlag.ENGINE)}
@@ -212,7 +213,7 @@
                 self._send_report(action)
 
     def _known_incarnations(self, host: Host) -> dict[int, int]:
-        """The live members as a host knows them: of one that has just restarted, the former incarnation."""
+        """Return the incarnations of live members as a host knows them, which is late after a restart."""
         return {
             machine_id(other.name): (
                 other.incarnation - (self.now - self.started_at[other.name] < JOIN_NOTICE_MS)
@@ -265,7 +266,7 @@
         self.call_at(self.now + LIVENESS_CHECK_MS, lambda: self.deliver(host, incarnation, on_result))
 
     def _in_flight(self, host: Host, name: str) -> int:
-        """A dispatcher's requests that run at an engine."""
+        """Return the number of a dispatcher's requests that run at an engine."""
         return self.engines[name].in_flight.get((host.name, host.incarnation), 0)
 
     def _send_requests(self, host: Host) -> None:
@@ -299,7 +300,7 @@
         self.call_at(self.now + self.power_off_delay_ms, lambda: self._power_off_engine(name))
 
     def _power_off_engine(self, name: str) -> None:
-        """Power an engine off if it is still out; the new one comes in its place."""
+        """Power an engine off if it is still out, and start the new one in its place later."""
         record, engine = self.record(name), self.engines[name]
         if record is None or record.step is not ReplacementStep.OUT or record.has_flag(MachineFlag.ABORTING):
             self.power_off_ordered.discard(name)
@@ -312,7 +313,7 @@
         self.call_at(arrival_at, lambda: self._place_engine(engine, record.replacement))
 
     def _restart_if_still_out(self, name: str) -> None:
-        """Operators restart an engine once more if its restart was not seen by any dispatcher."""
+        """Restart an engine again, as operators do, if no dispatcher has noticed its restart."""
         record, engine = self.record(name), self.engines[name]
         if record is None or record.step is not ReplacementStep.OUT or not engine.is_up:
             return
@@ -330,7 +331,7 @@
 
 
 def serving_world(seed: int, network_faults: NetworkFaults | None = None, **options: Any) -> EngineWorld:
-    """A fleet that has started and serves requests; options as of EngineWorld."""
+    """Return a fleet that has started and serves requests; the options are those of EngineWorld."""
     world = EngineWorld(seed, network_faults=network_faults, **options)
     world.run(2500.0 + seed % 100)
     return world
--- a/cottonhold/emulator/engine_replacement_cases.py
+++ b/cottonhold/emulator/engine_replacement_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases of replacing engines, each a whole run of the model, and defects that it has to notice.
+"""Fault cases of replacing engines, each a whole run of the model, and defects that the model has to detect.
 
 Times are ms.
 """
@@ -17,7 +17,7 @@
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.plan import MachineRecord, MachineRequest, ReplacementStep
 
-WATCHED_ENGINE = "x0"  # faults occur when it comes to a step
+WATCHED_ENGINE = "x0"  # faults occur when its replacement reaches a step
 REQUESTS = (MachineRequest("x0"), MachineRequest("x1", "y1"), MachineRequest("x2", cores=16.0))
 ENGINES = tuple(request.machine for request in REQUESTS)
 LOSSY_NETWORK = NetworkFaults(loss=0.3, duplication=0.3, max_delay_ms=150.0)
@@ -40,9 +40,17 @@
     network_faults: NetworkFaults | None = None,
     **options: Any,
 ) -> list[str]:
-    """Replace all engines, with a fault soon after the watched one has come to a step; return the breaches.
+    """Replace all engines, with a fault soon after the watched one's replacement reaches a step.
 
-    options: of EngineWorld.
+    Args:
+        seed: Seed of the run.
+        step: Step of the watched engine's replacement after which the fault occurs; None for no fault.
+        fault: Causes the fault.
+        network_faults: Faults of the network during the whole run.
+        options: Options of EngineWorld.
+
+    Returns:
+        The violated invariants.
     """
     world = serving_world(seed, network_faults, **options)
     has_occurred = False
@@ -72,7 +80,7 @@
 
 
 def restart_dispatcher(downtime_ms: float, of_driver: bool) -> Fault:
-    """The watched engine's driver, or another dispatcher, dies and is started again."""
+    """Return a fault that kills the watched engine's driver, or another dispatcher, and restarts it."""
 
     def fault(world: EngineWorld) -> None:
         name = world.driver(WATCHED_ENGINE) if of_driver else _other_than_driver(world)
@@ -84,7 +92,7 @@
 
 
 def restart_all(world: EngineWorld) -> None:
-    """All dispatchers are restarted, one soon after another."""
+    """Restart all dispatchers, one shortly after another."""
     for i, name in enumerate(list(world.hosts)):
         killed_at = world.now + 700.0 * i
         world.call_at(killed_at, lambda name=name: world.kill(name))  # type: ignore[misc]
@@ -92,12 +100,12 @@
 
 
 def pause_other(duration_ms: float) -> Fault:
-    """A dispatcher that does not drive the watched engine pauses."""
+    """Pause a dispatcher that does not drive the watched engine."""
     return lambda world: world.pause(_other_than_driver(world), duration_ms)
 
 
 def abort(world: EngineWorld) -> None:
-    """An operator aborts the watched engine's replacement, at a host that knows of it."""
+    """Abort the watched engine's replacement, as an operator, at a host that knows of it."""
     for host in world.hosts.values():
         coordinator = host.coordinator
         if coordinator is None or not world.is_running(host):
@@ -110,26 +118,26 @@
 
 
 def break_driver_link(world: EngineWorld) -> None:
-    """The driver alone does not reach the watched engine for a while."""
+    """Disconnect only the driver from the watched engine for some time."""
     link = world.driver(WATCHED_ENGINE), WATCHED_ENGINE
     world.broken_links.add(link)
     world.call_at(world.now + 2500.0, lambda: world.broken_links.discard(link))
 
 
 def pause_engine(world: EngineWorld) -> None:
-    """The watched engine answers nobody for a while, and goes on."""
+    """Pause the watched engine for some time, so that it answers no dispatcher."""
     links = {(name, WATCHED_ENGINE) for name in world.hosts}
     world.broken_links |= links
     world.call_at(world.now + 2500.0, lambda: world.broken_links.difference_update(links))
 
 
 def cut_power(world: EngineWorld) -> None:
-    """All dispatchers lose power and return; nobody sees what engines did meanwhile."""
+    """Restart all dispatchers after a power loss, during which none observes the engines."""
     world.cut_power(2000.0)
 
 
 def no_fault(world: EngineWorld) -> None:
-    """Nothing goes wrong."""
+    """Cause no fault."""
 
 
 FAULTS: dict[str, Fault] = {
@@ -145,7 +153,7 @@
     "engine pauses": pause_engine,
     "power": cut_power,
 }
-# Slow operators leave the old engine there while it can't be reached.
+# Slow operators keep the old engine powered on while it cannot be reached.
 POWER_OFF_DELAYS_MS = {"link lost": 5000.0, "engine pauses": 5000.0}
 
 
@@ -175,12 +183,12 @@
 
 
 def _counts_only_itself(drains: EngineDrains, now: float, engine: str, serial: int) -> set[int]:
-    """In place of missing_reports: nobody else's report is waited for."""
+    """Replace missing_reports, so that no other dispatcher's report is waited for."""
     return set() if engine in drains.drained else {drains.member}
 
 
 def _seems_absent_here(drains: EngineDrains, engine: str) -> bool:
-    """In place of is_absent: no other dispatcher's check is needed."""
+    """Replace is_absent, so that no other dispatcher's check is needed."""
     return drains._seems_absent(engine, drains.drained[engine])
 
 
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -1,7 +1,7 @@
-"""Coordinators in virtual time: instances with clients, zones of engines, faults between them.
+"""A model of a fleet of coordinators in virtual time: instances with clients, zones of engines, and faults.
 
-A model, far cheaper than processes: an engine is one server with a queue, clients are Poisson arrivals, the
-choice of an engine is a draw within the bounds. One seed replays the whole run. Times are ms.
+The model is far cheaper than processes: an engine is one server with a queue, requests arrive as a Poisson
+process, and an engine is chosen at random within the bounds. The seed determines the run. Times are in ms.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from cottonhold.fleet.zone_failover.zone_state import PhaseChange
 
 TIMEOUT_MS = 2000.0
-CHECK_INTERVAL_MS = 500.0  # between two health checks of an engine
-DEATH_NOTICE_MS = 1200.0  # until membership reports a death
-COLD_FACTOR = 3.0  # how many times longer a cold engine works
+CHECK_INTERVAL_MS = 500.0  # interval of the health checks of an engine
+DEATH_NOTICE_MS = 1200.0  # time until membership reports that an instance died
+COLD_FACTOR = 3.0  # how many times longer an attempt runs on a cold engine
 CONNECT_FAILURE_MS, ERROR_MS = 1.0, 2.0
 COMPARED_ENGINES, MAX_ENGINE_DRAWS = 2, 8
 QUERY_CLASS = 0
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, eq=False)
 class ModelEngine:
-    """An engine: its mean work, its queue, and its faults."""
+    """An engine with its mean work, its queue and its faults."""
 
     id: str
     zone: str
@@ -52,7 +52,8 @@
     def run(self, now: float, draw: random.Random) -> tuple[bool | None, float]:
         """Run an attempt.
 
-        Returns whether it was served (None if it timed out), and after how many ms that is known.
+        Returns:
+            Whether the attempt was served (None if it timed out), and the time until that is known, in ms.
         """
         self.sends.append(now)
         if self.is_dead:
@@ -68,12 +69,12 @@
         return True, started_at + work_ms - now
 
     def queue_ms(self, now: float) -> float:
-        """How long a new attempt would wait, as an instance sees it."""
+        """Return how long a new attempt would wait, in ms, as an instance sees it."""
         return max(self.busy_until - now, 0.0) if not self.is_dead else 0.0
 
 
 class PendingEnd(NamedTuple):
-    """An attempt in flight whose end is known; sorts by time."""
+    """The end of an attempt in flight; ordered by time."""
 
     ends_at: float
     serial: int
@@ -83,7 +84,7 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt as the model logs it. is_cut: its instance could not reach the zone."""
+    """An entry of the model's log of attempts; `is_cut` means that the instance could not reach the zone."""
 
     at: float
     zone: str
@@ -92,7 +93,7 @@
 
 
 class Node:
-    """One instance on the network: its coordinator, its clients, and its choice of engines."""
+    """One instance on the network, with its coordinator, its clients and its choice of engines."""
 
     def __init__(self, world: FleetWorld, number: int, rate: float, now: float, incarnation: int) -> None:
         self.world, self.number, self.rate = world, number, rate
@@ -112,7 +113,7 @@
         return self.draw.expovariate(self.rate / 1000)
 
     def next_at(self) -> float:
-        """When the next step is due."""
+        """Return the time of the next step."""
         end_at = self.pending_ends[0].ends_at if self.pending_ends else math.inf
         return min(self.fleet.next_at(), self.next_arrival_at, end_at)
 
@@ -151,9 +152,10 @@
         heapq.heappush(self.pending_ends, end)
 
     def _candidates(self, now: float) -> list[ModelEngine]:
-        """Two engines that may be sent to, or fewer.
+        """Return up to two engines to which an attempt may be sent.
 
-        Drawn first, at a cost that does not grow with the fleet; if that finds too few, of all engines.
+        A few random engines are tried first, at a cost that does not depend on the size of the fleet; if too
+        few of them are permitted, the choice is made among all engines.
         """
         candidates: list[ModelEngine] = []
         for _ in range(MAX_ENGINE_DRAWS):
@@ -169,7 +171,7 @@
         return self.credits.allows(now, engine.id, engine.number, engine.mean_work_ms)
 
     def _carry_out(self, now: float, actions: Iterable[object]) -> list[Datagram]:
-        """Carry out the coordinator's actions; return the datagrams to send."""
+        """Execute the coordinator's actions; return the datagrams to send."""
         datagrams: list[Datagram] = []
         for action in actions:
             match action:
@@ -183,15 +185,22 @@
 
 
 def address_of(member: int) -> Address:
-    """Where a member receives datagrams."""
+    """Return the address at which a member receives datagrams."""
     return Address("fleet", member)
 
 
 class FleetWorld:
-    """Instances, clients and zones of engines, with faults.
-
-    zones: names; each has `engines` engines. rate: requests a second over all instances, divided among them
-    by `skew`.
+    """The model: instances, clients and zones of engines, with faults.
+
+    Args:
+        seed: Seed of the run.
+        instances: Number of instances.
+        rate: Requests per second at all instances together.
+        zones: Names of the zones.
+        engines: Number of engines in each zone.
+        skew: Relative share of the requests at an instance, by its number.
+        loss: Share of datagrams that are lost.
+        settings: Settings of the coordinators.
     """
 
     def __init__(
@@ -223,39 +232,39 @@
         self._check_engines()
 
     def start(self, number: int, incarnation: int) -> None:
-        """Start an instance without any memory."""
+        """Start an instance without any stored state."""
         node = Node(self, number, self.rates[number], self.network.now, incarnation)
         self.nodes[number] = node
         self.network.add(address_of(number + 1), node)
         self.live_members.add(number + 1)
 
     def kill(self, number: int) -> None:
-        """Kill an instance, and its clients with it."""
+        """Kill an instance; its clients then send no requests."""
         self.network.kill(address_of(number + 1))
         self.live_members.discard(number + 1)
         del self.nodes[number]
         self.network.call_at(self.network.now + DEATH_NOTICE_MS, self.announce_members)
 
     def announce_members(self) -> None:
-        """Announce the live members to all, as membership would."""
+        """Announce the live members to all instances, as membership would."""
         for node in self.nodes.values():
             node.fleet.set_members(self.network.now, self.live_members)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run the model up to a time in ms."""
         self.network.run(until)
 
     def share(self, zone: str, begin: float, end: float) -> float:
-        """Share of all attempts from begin to end that went to a zone."""
+        """Return the share of all attempts from `begin` to `end` that were sent to a zone."""
         zones = [attempt.zone for attempt in self.log if begin <= attempt.at < end]
         return zones.count(zone) / max(len(zones), 1)
 
     def phases(self, zone: str) -> dict[int, str]:
-        """Each instance's phase of a zone; "fleet" where it is out by the count alone."""
+        """Return each instance's phase of a zone, by the instance's number."""
         return {number: node.fleet.evacuation.states[zone].phase.value for number, node in self.nodes.items()}
 
     def _check_engines(self) -> None:
-        """One of all instances checks each engine's health, and a good result reaches all."""
+        """Have one instance check each engine's health; a successful result reaches all instances."""
         now = self.network.now
         for engine in self.engines.values():
             is_well = not engine.is_dead and now >= engine.silent_until
--- a/cottonhold/emulator/lossy_disk.py
+++ b/cottonhold/emulator/lossy_disk.py
@@ -1,21 +1,22 @@
-"""A disk that loses what was not synced, and fails as a control file says.
+"""A simulated disk that loses unsynced writes in a power loss, and has the faults that a control file sets.
 
-What is written stays in this process's memory until a sync; only then it reaches the real file. So killing
-the process is a power loss. As the control file says (JSON, read again whenever it has changed), the disk is
-full, fails writes or syncs, lies about a sync, stalls, or lets some unsynced writes through all the same:
+Writes stay in this process's memory until a sync, which writes them to the real file. Killing the process
+therefore has the effect of a power loss. The control file is a JSON object, read again whenever it changes:
 
-    {"full": true}           every write fails as on a full disk; "room": 4096 lets files grow by so much
-    {"fail_write": 0.5}      a write fails with this probability; "fail_sync" and "fail_read" likewise
-    {"lie_sync": true}       a sync reports success and does nothing
-    {"stall": true}          writes and syncs wait until this is taken back; "stall_ms": 50: so long each time
+    {"full": true}           every write fails as on a full disk
+    {"room": 4096}           a write that extends a file by more than this many bytes fails
+    {"fail_write": 0.5}      a write fails with this probability; likewise "fail_sync" and "fail_read"
+    {"lie_sync": true}       a sync reports success without making anything durable
+    {"stall": true}          writes and syncs block until this is reset
+    {"stall_ms": 50}         each write and sync is delayed by this time
     {"leak": 0.3}            an unsynced write, or its first part, reaches the real file with this probability
-    {"seed": 7}              of the draws
+    {"seed": 7}              seed of the random numbers
 
-A failed sync does as Linux does (fsync, 2018): what it should have written counts as clean from then on, is
-seen when read, and never reaches the disk by a later sync.
+A failed sync behaves as on Linux (fsync, 2018): the data that it should have written is considered clean from
+then on. It can still be read, but no later sync writes it to the disk.
 
-Simpler than a disk: a new file's name is durable with its content's first sync; a moved or removed name is
-only after a sync of its folder.
+Unlike on a real disk, a new file's name becomes durable with the first sync of its content. The move or
+removal of a file becomes durable only with a sync of its folder.
 """
 
 from __future__ import annotations
@@ -33,12 +34,12 @@
 
 STALL_POLL_INTERVAL_S = 0.01
 LEAK_PROBABILITY_AT_POWER_CUT = 0.5
-WHOLE_WRITE_PROBABILITY = 0.5  # of a write that reaches the disk without a sync; else a first part does
+WHOLE_WRITE_PROBABILITY = 0.5  # chance that an unsynced write reaches the disk completely, if at all
 
 
 @dataclass(slots=True, frozen=True)
 class Orders:
-    """What the control file says, by its keys; see the module."""
+    """The faults that the control file sets, by its keys; the module describes each."""
 
     full: bool = False
     room: int = -1
@@ -53,7 +54,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Orders:
-        """The orders in a control file's text. Raises ValueError for malformed JSON and unknown keys."""
+        """Return the faults set in a control file's text; raises ValueError for bad JSON and unknown keys."""
         orders = json.loads(text)
         unknown = set(orders) - {key.name for key in fields(cls)}
         if unknown:
@@ -62,7 +63,7 @@
 
 
 class Operation(StrEnum):
-    """What the disk does, as `before` is told."""
+    """Kinds of operations, as passed to `Disk.before`."""
 
     WRITE = "write"
     SYNC = "sync"
@@ -79,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Truncation:
-    """A file cut to a size."""
+    """A reduction of a file to a size in bytes."""
 
     size: int
 
@@ -91,8 +92,11 @@
 class Node:
     """One file.
 
-    content: as this process sees it. durable_path: where the file is on the real disk once `is_durable`.
-    unsynced: changes that are not durable yet.
+    Attributes:
+        content: The content as this process sees it.
+        durable_path: Path of the file on the real disk once `is_durable` is set.
+        is_durable: Whether the file exists on the real disk.
+        unsynced: Changes that are not durable yet.
     """
 
     content: bytearray
@@ -102,10 +106,13 @@
 
 
 class Disk:
-    """All files that were touched through it. Any thread may use it. Raises OSError.
+    """All files that were opened through the disk. Its methods raise OSError; any thread may call them.
 
-    operations: number of writes, syncs and changes of names so far; reads likewise. before, before_read:
-    called with these numbers before each; what they raise is raised by the operation.
+    Attributes:
+        operations: Number of writes, syncs and changes of names so far.
+        reads: Number of reads so far.
+        before: Called before each operation with its number and kind; may raise in its place.
+        before_read: Called before each read with its number; may raise in its place.
     """
 
     def __init__(self, control: Path | None = None) -> None:
@@ -122,7 +129,7 @@
         self._control_version: tuple[int, int] | None = None  # time and size of the control file
 
     def cut_power(self, draw: random.Random | None = None) -> None:
-        """Write nothing more. With `draw`, some of what was unsynced has reached the disk."""
+        """Fail all later operations. With `draw`, some unsynced changes reach the disk before."""
         self.is_off = True
         with self.lock:
             if draw is None:
@@ -135,7 +142,7 @@
                 self.make_move_durable(node, target)
 
     def node(self, path: Path) -> Node | None:
-        """The file as this process sees it; None where there is none."""
+        """Return a file as this process sees it; None if it does not exist."""
         with self.lock:
             node = self.nodes.get(path)
             if node is None and path not in self.removed and path.is_file():
@@ -143,19 +150,19 @@
             return node
 
     def open(self, path: Path) -> Node:
-        """The file, created empty where there is none."""
+        """Return a file; an empty one is created if it does not exist."""
         with self.lock:
             node = self.node(path)
             if node is None:
                 if any(moved.durable_path == path for moved, _ in self.moves):
-                    # Names are journalled in order: the former file's is settled before this one can be.
+                    # Names are journalled in order, so those of the former file become durable first.
                     self._make_all_moves_durable()
                 node = self.nodes[path] = Node(bytearray(), path)
                 self.removed.discard(path)
             return node
 
     def write(self, node: Node, offset: int, content: bytes) -> None:
-        """Write bytes: seen at once, durable after `sync`."""
+        """Write bytes; they can be read immediately and are durable after `sync`."""
         with self.lock:
             self._start(Operation.WRITE)
             growth = max(0, offset + len(content) - len(node.content))
@@ -167,19 +174,19 @@
             self._add_unsynced(node, Write(offset, content))
 
     def truncate(self, node: Node, size: int) -> None:
-        """Cut a file to a size: seen at once, durable after `sync`."""
+        """Truncate a file to a size in bytes; durable after `sync`."""
         with self.lock:
             self._start(Operation.WRITE)
             del node.content[size:]
             self._add_unsynced(node, Truncation(size))
 
     def sync(self, node: Node) -> None:
-        """Make a file's changes durable, unless ordered to lie."""
+        """Make a file's changes durable, unless `lie_sync` is set."""
         with self.lock:
             try:
                 self._start(Operation.SYNC)
             except OSError:
-                # Clean in the kernel's eyes from now on: no later sync writes it.
+                # The kernel considers the data clean from now on, so no later sync writes it.
                 node.unsynced.clear()
                 raise
             if self.orders.lie_sync:
@@ -189,7 +196,7 @@
             node.unsynced.clear()
 
     def move(self, old: Path, new: Path) -> None:
-        """Rename a file: seen at once, durable after `sync_names`."""
+        """Rename a file; durable after `sync_names`."""
         with self.lock:
             self._start(Operation.CHANGE_NAMES)
             node = self.node(old)
@@ -201,7 +208,7 @@
             self.moves.append((node, new))
 
     def remove(self, path: Path) -> None:
-        """Remove a file: seen at once, durable after `sync_names`."""
+        """Remove a file; durable after `sync_names`."""
         with self.lock:
             node = self.node(path)
             if node is None:
@@ -212,7 +219,7 @@
             self.moves.append((node, None))
 
     def sync_names(self) -> None:
-        """Make all moves and removals so far durable, unless ordered to lie."""
+        """Make all moves and removals so far durable, unless `lie_sync` is set."""
         with self.lock:
             self._start(Operation.SYNC)
             if self.orders.lie_sync:
@@ -245,7 +252,7 @@
             raise OSError(errno.EIO, f"a {operation} failed as told")
 
     def _update_orders(self) -> None:
-        """Read the control file again if it has changed; one that is half written is read the next time."""
+        """Read the control file again if it has changed; a half-written one is skipped this time."""
         if self.control is None:
             return
         try:
@@ -269,7 +276,7 @@
 
     @staticmethod
     def _torn(change: Change, draw: random.Random) -> Change:
-        """A change, or a first part of it."""
+        """Return a change, or a write of its first part."""
         if isinstance(change, Truncation) or draw.random() < WHOLE_WRITE_PROBABILITY:
             return change
         return Write(change.offset, change.content[: draw.randint(0, len(change.content))])
--- a/cottonhold/emulator/model_checker.py
+++ b/cottonhold/emulator/model_checker.py
@@ -1,12 +1,12 @@
-"""A small model checker for pure machines: every order of a few events, or many random ones.
+"""A small model checker for pure state machines; it explores all orders of a few events, or random long ones.
 
-A *model* is several machines, their disks and the network between them. Each of its `choices()` is one thing
-that may happen next: a message is delivered (and kept, so that it arrives again), a record is written, a
-timer is due, a machine crashes, a disk is lost. A message that is never delivered is lost.
+A *model* consists of several machines, their disks and the network between them. Each of its `choices()` is
+a possible next event: a message is delivered (and may be delivered again), a record is written, a timer
+expires, a machine crashes, or a disk is lost. A message that is never delivered counts as lost.
 
-`explore` takes every choice of every state up to a depth, breadth first; states that look alike (clocks
-and random draws left out) are visited once, as in stateright. `walk` takes random choices much
-deeper. Both are deterministic.
+`explore` searches all choices of every state up to a depth, breadth first; states that are equal apart from
+clocks and random number generators are visited once, as in stateright. `walk` makes random choices to a much
+larger depth. Both are deterministic.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 from cottonhold.fleet.consensus.actions import PersistState, SendConsensusMessage
 
-SETTLING_ROUNDS = 60  # of messages and due steps in a quarter of a tick
+SETTLING_ROUNDS = 60  # maximum rounds of messages and due steps in a quarter of a tick
 INITIAL_SETTLING_TICKS, FINAL_SETTLING_TICKS = 40, 80
 NOT_COMPARED = ("counts", "settings")  # attributes that do not distinguish states
-CLOCKS = ("now", "incarnations")  # the model's own ones
+CLOCKS = ("now", "incarnations")  # attributes of a model that are left out of its fingerprint
 
 
 class ChoiceKind(StrEnum):
-    """What may happen in each model."""
+    """The kinds of events that may occur in every model."""
 
     DELIVER = "deliver"
     WRITE = "write"
@@ -40,7 +40,7 @@
     START = "start"
 
 
-# The weight of a choice in a random walk, where others have 1: faults are rare, or nothing gets anywhere.
+# Weights of choices in a random walk; others have 1. Frequent faults would prevent all progress.
 WEIGHTS: dict[str, float] = {
     ChoiceKind.DELIVER: 6.0,
     ChoiceKind.WRITE: 10.0,
@@ -53,7 +53,7 @@
 
 
 class Choice(NamedTuple):
-    """One thing that may happen next. kind: a ChoiceKind, or a word of the model."""
+    """A possible next event; `kind` is a ChoiceKind or a kind of event of a specific model."""
 
     kind: str
     args: tuple[Any, ...] = ()
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class CheckResult:
-    """What was checked. violation: the rule that was broken, if any. trace: the choices that led there."""
+    """The extent of a check, the violated rule (empty if none), and the choices that led to it."""
 
     states: int = 0
     steps: int = 0
@@ -79,14 +79,17 @@
 
 
 class Model:
-    """Machines 1, 2, ... with disks and a network; subclasses make the machines and state the rules.
+    """Machines 1, 2, ... with disks and a network; subclasses create the machines and define the rules.
 
-    remaining_crashes, remaining_disk_losses: faults that may still occur. in_flight: by message, how often
-    it may still be delivered. violation: the rule that is broken, empty if none is.
+    Attributes:
+        remaining_crashes: Number of crashes that may still occur.
+        remaining_disk_losses: Number of disk losses that may still occur.
+        in_flight: How often each message may still be delivered.
+        violation: The first violated rule; empty if there is none.
     """
 
     tick_ms = 100.0
-    max_deliveries = 2  # of each message
+    max_deliveries = 2  # how often a message may be delivered
 
     def __init__(self, members: Iterable[int], crashes: int, disk_losses: int) -> None:
         self.now, self.remaining_crashes, self.remaining_disk_losses = 0.0, crashes, disk_losses
@@ -99,25 +102,25 @@
         self.violation = ""
 
     def make_machine(self, member: int, disk: dict[str, bytes]) -> Any:
-        """A machine that starts with this disk."""
+        """Return a new machine that starts with the contents of this disk."""
         raise NotImplementedError
 
     def on_action(self, member: int, action: Any) -> None:
-        """A machine's action that is neither a message nor a record."""
+        """Execute a machine's action that is neither a message nor a record."""
 
     def model_choices(self) -> list[Choice]:
-        """Choices of this model."""
+        """Return the possible next events that are specific to this model."""
         return []
 
     def apply_model_choice(self, choice: Choice) -> None:
-        """Carry out one of them."""
+        """Apply one of the model's own choices."""
 
     def violated_rule(self) -> str:
-        """The rule that is broken now, empty if none is."""
+        """Return the rule that the present state violates; empty if there is none."""
         return ""
 
     def on_crash(self, member: int) -> None:
-        """A machine's process has crashed."""
+        """Update the model after a machine's process has crashed."""
 
     def start_all(self) -> None:
         """Start all machines, and let them settle without faults."""
@@ -133,11 +136,11 @@
         self.step(member)
 
     def step(self, member: int) -> None:
-        """Let a machine take a step."""
+        """Run a step of a machine."""
         self.carry_out(member, self.running[member].step(self.now))
 
     def carry_out(self, member: int, actions: Iterable[Any]) -> None:
-        """Carry out a machine's actions."""
+        """Execute a machine's actions."""
         for action in actions:
             if isinstance(action, SendConsensusMessage):
                 if action.member in self.disks:
@@ -148,7 +151,7 @@
                 self.on_action(member, action)
 
     def choices(self) -> list[Choice]:
-        """All that may happen next."""
+        """Return all possible next events."""
         choices = [Choice(ChoiceKind.DELIVER, m) for m in self.in_flight if m.target in self.running]
         choices += [Choice(ChoiceKind.WRITE, (m,)) for m in self.running if self.pending_writes[m]]
         choices += [Choice(ChoiceKind.STEP, (m,)) for m in self.due_members()]
@@ -160,11 +163,11 @@
         return [*choices, Choice(ChoiceKind.TICK), *self.model_choices()]
 
     def due_members(self) -> list[int]:
-        """The machines whose next step is due."""
+        """Return the machines whose next step is due."""
         return [m for m, machine in self.running.items() if machine.next_at() <= self.now]
 
     def apply(self, choice: Choice) -> None:
-        """Let one of the choices happen, and check the rules."""
+        """Apply one of the choices, and check the rules."""
         kind, args = choice
         if kind == ChoiceKind.DELIVER:
             message = Message(*args)
@@ -187,16 +190,16 @@
         self.check()
 
     def check(self) -> None:
-        """Note the first rule that is broken."""
+        """Record the first violated rule."""
         self.violation = self.violation or self.violated_rule()
 
     def deliver(self, message: Message) -> None:
-        """Let a running machine receive a message."""
+        """Deliver a message to a running machine."""
         target, sender, payload = message
         self.carry_out(target, self.running[target].on_message(self.now, sender, payload))
 
     def complete_write(self, member: int) -> None:
-        """A disk has written its next record."""
+        """Complete the next pending write of a machine's disk."""
         write = self.pending_writes[member].pop(0)
         self.disks[member].pop(write.name, None)
         if write.data:
@@ -204,7 +207,7 @@
         self.carry_out(member, self.running[member].on_persisted(self.now, write.token))
 
     def crash(self, member: int, loses_disk: bool) -> None:
-        """End a process, with what was not written, and maybe its disk."""
+        """End a machine's process; its pending writes are lost, and its disk too with `loses_disk`."""
         self.remaining_crashes -= not loses_disk
         self.remaining_disk_losses -= loses_disk
         del self.running[member]
@@ -214,7 +217,7 @@
         self.on_crash(member)
 
     def settle(self, ticks: int) -> None:
-        """Let so many ticks pass without faults; all machines that are down start."""
+        """Run a number of ticks without faults, after starting all machines that are down."""
         for member in [m for m in self.members if m not in self.running]:
             self.start(member)
         for _ in range(ticks):
@@ -240,13 +243,13 @@
             self.check()
 
     def fingerprint(self) -> bytes:
-        """A digest that is equal for states that look alike."""
+        """Return a digest that is equal for equal states, apart from clocks and random number generators."""
         parts = {name: value for name, value in vars(self).items() if name not in CLOCKS}
         return hashlib.blake2b(repr(comparable(parts)).encode(), digest_size=12).digest()
 
 
 def comparable(value: Any) -> Any:
-    """A value that is equal for states that look alike: no clocks, no random draws."""
+    """Return a value without its clocks and random number generators, for comparing states."""
     if isinstance(value, float | random.Random):
         return None
     if isinstance(value, str | bytes | int | Enum | None):
@@ -263,7 +266,7 @@
 
 
 def explore(make_model: Callable[[], Model], max_depth: int, max_states: int) -> CheckResult:
-    """Take every order of events up to a depth, or until so many states were seen."""
+    """Explore every order of events up to a depth, or until `max_states` states were visited."""
     model, result = make_model(), CheckResult()
     seen = {model.fingerprint()}
     queue: deque[tuple[bytes, tuple[Choice, ...]]] = deque([(pickle.dumps(model), ())])
@@ -295,9 +298,9 @@
     length: int,
     violation_at_end: Callable[[Model], str],
 ) -> CheckResult:
-    """Take random orders of events, each with weights of its own for faults.
+    """Explore random orders of events; each walk draws its own weights of ticks, deliveries and writes.
 
-    After each walk the model settles without faults; `violation_at_end` then gives the rule that is broken.
+    After each walk the model settles without faults; `violation_at_end` then returns a violated rule, if any.
     """
     result = CheckResult(depth=length)
     initial_state = pickle.dumps(make_model())
@@ -322,7 +325,7 @@
 
 
 def _random_choices(model: Model, draw: random.Random, length: int) -> Iterable[Choice]:
-    """Choices of a model's present state, one after another."""
+    """Yield random choices of a model's present state, one after another."""
     weights = {
         **WEIGHTS,
         ChoiceKind.TICK: draw.choice((0.1, 0.5, 2.0)),
--- a/cottonhold/emulator/models.py
+++ b/cottonhold/emulator/models.py
@@ -1,7 +1,7 @@
 """Models for the model checker.
 
-Registers: three voters, and two proposers of which one does not vote. Ownership: two owners, two keys, three
-voters.
+RegisterModel: three voters, and two proposers of which one does not vote.
+OwnershipModel: two owners, two keys and three voters.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 
 
 class RegisterModel(Model):
-    """One register; each proposer requests so many changes from what it knows.
+    """One register; each proposer requests a number of changes of the version that it knows.
 
-    Rules: a version has one value; a winner's value is that of its version; a lost change is never settled;
-    versions never go back.
+    Rules: a version has one value; the version of a successful change has its value; a change that was
+    reported as lost is never settled; versions never decrease.
     """
 
     def __init__(self, crashes: int = 1, disk_losses: int = 1, changes: int = 2) -> None:
         super().__init__((*VOTERS, NON_VOTING_PROPOSER), crashes, disk_losses)
         self.remaining_changes = {1: changes, NON_VOTING_PROPOSER: changes}
         self.settled_values: dict[int, bytes] = {}  # by version
-        self.requested: dict[int, tuple[int, bytes]] = {}  # by token: the version it starts from, and value
+        self.requested: dict[int, tuple[int, bytes]] = {}  # by token: base version and value
         self.lost_values: set[bytes] = set()
         self.start_all()
 
     def make_machine(self, member: int, disk: dict[str, bytes]) -> Registers:
-        """One member's registers over what its disk holds."""
+        """Return a member's registers, restored from its disk."""
         incarnation = self.incarnations[member]
         return Registers(
             member,
@@ -51,7 +51,7 @@
         )
 
     def model_choices(self) -> list[Choice]:
-        """A change by each proposer that has one left."""
+        """Return a change for each running proposer that has one left."""
         proposers = [m for m, remaining in self.remaining_changes.items() if remaining and m in self.running]
         return [Choice(REQUEST_CHANGE, (m,)) for m in proposers]
 
@@ -60,7 +60,7 @@
         self.request_change(choice.args[0])
 
     def request_change(self, member: int) -> None:
-        """A proposer requests a change of the register from the version that it knows."""
+        """Have a proposer request a change of the register version that it knows."""
         self.remaining_changes[member] -= 1
         token = member * 10 + self.remaining_changes[member]
         version, _ = self.running[member].last_known(REGISTER)
@@ -69,7 +69,7 @@
         self.carry_out(member, self.running[member].change(self.now, REGISTER, version, value, token))
 
     def on_action(self, member: int, action: Any) -> None:
-        """Check what a member reports as settled, and outcomes."""
+        """Check the settled values and the outcomes that a member reports."""
         if isinstance(action, RegisterChanged):
             self._on_settled(action.version, action.value)
         elif isinstance(action, OperationOutcome) and action.token:
@@ -89,13 +89,13 @@
             self.violation = f"version {version} has two values"
 
     def violated_rule(self) -> str:
-        """A lost change that was settled, if any."""
+        """Return the violation of a lost change that was settled, if any."""
         values = self.lost_values & set(self.settled_values.values())
         return f"a change that was lost was settled: {sorted(values)}" if values else ""
 
 
 def registers_violation_at_end(model: Model) -> str:
-    """After all faults: every change has an outcome, and all voters vote and agree."""
+    """Check that, after all faults, every change has an outcome and all voters vote and agree."""
     assert isinstance(model, RegisterModel)
     voters = [model.running[voter] for voter in VOTERS]
     if not all(voter.is_voting() for voter in voters):
@@ -107,7 +107,7 @@
 
 
 class OwnershipChoice(StrEnum):
-    """What may happen in OwnershipModel."""
+    """The kinds of events that are specific to OwnershipModel."""
 
     MOVE = "move"
     START_LOAD = "load"
@@ -117,10 +117,10 @@
 
 
 class OwnershipModel(Model):
-    """Keys move between two owners while loads of them start and end; one owner may be fenced once.
+    """Keys that move between two owners while loads of them start and end; one owner may be fenced once.
 
-    Rules: one owner a key at each moment; no load starts while one is open elsewhere; where the end of an
-    earlier one is unknown, its next owner knows so.
+    Rules: a key has at most one owner at any time; no load starts while one of its key is open elsewhere; if
+    the end of an earlier load is unknown, the key's next owner has recorded that it may have run.
     """
 
     tick_ms = 150.0
@@ -130,19 +130,19 @@
         super().__init__(VOTERS, crashes, 0)
         self.remaining_moves, self.remaining_loads, self.remaining_fences = moves, loads, fences
         self.open_loads: dict[bytes, tuple[int, int]] = {}  # by key: member and load
-        self.unknown_ends: dict[bytes, int] = {}  # by key: the member whose crash hid a load's end
+        self.unknown_ends: dict[bytes, int] = {}  # by key: member whose crash left a load's end unknown
         self.fenced_member = 0
         self.fence_known_by: set[int] = set()
         self.start_all()
 
     def make_machine(self, member: int, disk: dict[str, bytes]) -> KeyOwnership:
-        """One member's ownership over what its disk holds."""
+        """Return a member's key ownership, restored from its disk."""
         draw = random.Random(member * 1000 + self.incarnations[member])
         settings = OwnershipSettings(is_enabled=True)
         return KeyOwnership(member, OWNERS, self.members, self.now, draw.getrandbits(32), disk, settings)
 
     def model_choices(self) -> list[Choice]:
-        """Moves, starts and ends of loads, and what concerns the fence."""
+        """Return possible moves, starts and ends of loads, and events of the fence."""
         choices: list[Choice] = []
         for member in OWNERS:
             if member in self.running:
@@ -160,14 +160,14 @@
         return choices
 
     def _may_start_load(self, member: int, key: bytes) -> bool:
-        """Whether a member owns a key and has no load of it open."""
+        """Return whether a member owns a key and has no open load of it."""
         open_load = self.open_loads.get(key)
         if open_load is not None and open_load[0] == member:
             return False
         return self.running[member].ownership_of(self.now, key) is not None
 
     def apply_model_choice(self, choice: Choice) -> None:
-        """Carry one of them out."""
+        """Apply one of the model's own choices."""
         kind, args = choice
         if kind == OwnershipChoice.MOVE:
             self._move(args[0])
@@ -184,14 +184,14 @@
             self.learn_fence(args[0])
 
     def _move(self, member: int) -> None:
-        """A member moves all its keys to the other owner."""
+        """Have a member move all its keys to the other owner."""
         self.remaining_moves -= 1
         machine, target = self.running[member], sum(OWNERS) - member
         owned = [key for key in self.keys if machine.ownership_of(self.now, key)]
         self.carry_out(member, machine.move(self.now, owned, target))
 
     def _start_load(self, member: int, key: bytes) -> None:
-        """A load of a key starts at a member that owns it."""
+        """Start a load of a key at a member that owns it."""
         self.remaining_loads -= 1
         ownership = self.running[member].ownership_of(self.now, key)
         open_load = self.open_loads.get(key)
@@ -205,38 +205,38 @@
         self.carry_out(member, actions)
 
     def end_load(self, key: bytes, member: int, load: int) -> None:
-        """A load ends at a member."""
+        """End a load at a member."""
         self.carry_out(member, self.running[member].on_request_ended(self.now, key, load))
 
     def learn_fence(self, member: int) -> None:
-        """A member learns who is fenced."""
+        """Inform a member of who is fenced."""
         self.fence_known_by.add(member)
         self.carry_out(member, self.running[member].fence(self.now, self.fenced_member, 1))
 
     def on_crash(self, member: int) -> None:
-        """A member's open loads have an unknown end, and it forgets the fence."""
+        """Mark the end of a crashed member's open loads as unknown, and forget its fence."""
         for key in [k for k, (owner, _) in self.open_loads.items() if owner == member]:
             del self.open_loads[key]
             self.unknown_ends[key] = member
         self.fence_known_by.discard(member)
 
     def on_action(self, member: int, action: Any) -> None:
-        """Check the ends of moves."""
+        """Check the end of a move."""
         if isinstance(action, MoveEnded) and action.is_moved and action.target == member:
             self.violation = "moved to itself"
 
     def owner_count(self, key: bytes) -> int:
-        """The number of members that own a key now."""
+        """Return the number of members that own a key now."""
         machines = self.running.values()
         return sum(machine.ownership_of(self.now, key) is not None for machine in machines)
 
     def violated_rule(self) -> str:
-        """A key with two owners, if any."""
+        """Return the violation of a key with two owners, if any."""
         return "a key has two owners" if any(self.owner_count(key) > 1 for key in self.keys) else ""
 
 
 def ownership_violation_at_end(model: Model) -> str:
-    """After all faults: each key has an owner again."""
+    """Check that, after all faults, each key has an owner again."""
     assert isinstance(model, OwnershipModel)
     for member in list(model.running):
         if model.fenced_member:
@@ -246,7 +246,7 @@
     model.settle(FINAL_SETTLING_TICKS)
     for key in model.keys:
         for machine in model.running.values():
-            machine.route(model.now, key)  # an owner takes over what it is asked for
+            machine.route(model.now, key)  # an owner takes over a key when it routes a request of it
     model.settle(8)
     owner_counts = [model.owner_count(key) for key in model.keys]
     if model.violation or owner_counts == [1] * len(model.keys):
--- a/cottonhold/emulator/network.py
+++ b/cottonhold/emulator/network.py
@@ -1,4 +1,4 @@
-"""A datagram network in virtual time: delay, loss, one-way links, partitions, processes that pause and die.
+"""A datagram network in virtual time with delay, loss, one-way links, partitions, pauses and crashes.
 
 Times are ms.
 """
@@ -19,21 +19,26 @@
 
 
 class Process(Protocol):
-    """What runs on the network: a pure step function that says when it is due."""
+    """A process on the network: a pure step function and the time of its next step."""
 
     def step(self, now: float, received: list[Datagram]) -> Iterable[Datagram]:
-        """Take in datagrams with their senders; return datagrams to send with their targets."""
+        """Process datagrams with their senders; return datagrams to send with their receivers."""
 
     def next_at(self) -> float:
-        """When the next step is due at the latest."""
+        """Return the latest time of the next step."""
 
 
 @dataclass(slots=True)
 class Host:
-    """An address on the network and the process there.
-
-    paused_until: until then the process does not run, and loses nothing. wake_up: number of the last
-    scheduled wake-up, which makes the earlier ones void.
+    """An address on the network and its process.
+
+    Attributes:
+        address: Address of the host.
+        process: The process; None if none runs.
+        paused_until: Time until which the process does not run; it loses no datagrams.
+        undelivered: Datagrams that arrived during the pause, or since the last step.
+        clock_skew_ms: Difference of the process's clock from the simulated clock, in ms.
+        wake_up: Number of the last scheduled wake-up; earlier ones have no effect.
     """
 
     address: Address
@@ -45,9 +50,11 @@
 
 
 class Network:
-    """Hosts in virtual time. One seed replays the whole run.
+    """Hosts in virtual time; the seed determines the whole run.
 
-    is_cut: whether datagrams from a sender to a receiver are lost. after_step: called after each step.
+    Attributes:
+        is_cut: Returns whether all datagrams from a sender to a receiver are lost.
+        after_step: Called with the host after each step.
     """
 
     def __init__(self, seed: int, delay_ms: tuple[float, float] = (0.2, 2.0), loss: float = 0.0) -> None:
@@ -61,19 +68,19 @@
 
     @property
     def now(self) -> float:
-        """The time on the simulated clock."""
+        """Return the time of the simulated clock, in ms."""
         return self.clock.now
 
     def call_at(self, when: float, action: Action) -> None:
-        """Run an action at a time; at once if that is over."""
+        """Run an action at a time, or immediately if that has passed."""
         self.clock.call_at(max(when, self.now), action)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run the network up to a time in ms."""
         self.clock.run(until)
 
     def add(self, address: Address, process: Process, clock_skew_ms: float = 0.0) -> Host:
-        """Start a process at an address, in place of a former one."""
+        """Start a process at an address; it replaces a former one."""
         host = self.hosts.get(address)
         if host is None:
             host = self.hosts[address] = Host(address, process)
@@ -83,18 +90,18 @@
         return host
 
     def kill(self, address: Address) -> None:
-        """End a process at once; what it has not received is lost."""
+        """End a process; datagrams that it has not received are lost."""
         host = self.hosts[address]
         host.process, host.undelivered = None, []
 
     def pause(self, address: Address, duration_ms: float) -> None:
-        """Stop a process for a while; datagrams wait in its socket."""
+        """Pause a process for some time; its datagrams are kept until then."""
         host = self.hosts[address]
         host.paused_until = max(host.paused_until, self.now + duration_ms)
         self.call_at(host.paused_until, lambda: self.step(host))
 
     def step(self, host: Host) -> None:
-        """Let a host's process take a step now, unless it is paused or dead."""
+        """Run a step of a host's process now, unless it is paused or has ended."""
         if host.process is None or self.now < host.paused_until:
             return
         received, host.undelivered = host.undelivered, []
--- a/cottonhold/emulator/outage_log.py
+++ b/cottonhold/emulator/outage_log.py
@@ -1,4 +1,4 @@
-"""The log of requests in the model of outages, and what is counted from it. Times are ms."""
+"""The log of requests in the model of outages, and figures computed from it. Times are in ms."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RequestEvent(StrEnum):
-    """What became of a request, or of one run of it at an engine."""
+    """Events of a request, or of one run of it at an engine."""
 
     ARRIVED = "came"
     RAN = "ran"
@@ -20,7 +20,16 @@
 class LogEntry:
     """An event of a request.
 
-    home: its client's zone. zone: the engine's. cold_work_ms: work because its data set was not cached.
+    Attributes:
+        at: Time of the event, in ms.
+        event: Kind of the event.
+        home: Zone of the request's client.
+        utility: Utility of the request.
+        zone: Zone of the engine; empty if the request was not sent.
+        work_ms: Work of the request, in ms, without `cold_work_ms`.
+        cold_work_ms: Additional work, in ms, because the data set was not cached.
+        round_trip_ms: Round trip between the instance and the engine, in ms.
+        arrived_at: Time of the request's arrival, in ms, on events that end it.
     """
 
     at: float
@@ -35,13 +44,13 @@
 
 
 class RequestLog(list[LogEntry]):
-    """All that happened, in order."""
+    """All events, in order."""
 
     def _between(self, event: RequestEvent, begin: float, end: float) -> list[LogEntry]:
         return [entry for entry in self if entry.event is event and begin <= entry.at < end]
 
     def served_share(self, begin: float, end: float) -> float:
-        """Utility served of what arrived in that time, as a part of it."""
+        """Return the share of the utility of requests that arrived in a period that was served."""
         arrived = sum(entry.utility for entry in self._between(RequestEvent.ARRIVED, begin, end))
         served = (
             entry.utility
@@ -51,7 +60,7 @@
         return sum(served) / max(arrived, 1e-9)
 
     def flows(self, begin: float, end: float) -> dict[tuple[str, str], tuple[float, float]]:
-        """Work in cores, and mean round trip in ms, by home and zone."""
+        """Return the served work in cores and the mean round trip in ms, by client's and engine's zone."""
         flows: dict[tuple[str, str], tuple[float, float]] = {}
         for entry in self._between(RequestEvent.SERVED, begin, end):
             work_ms, weighted_ms = flows.get((entry.home, entry.zone), (0.0, 0.0))
@@ -65,11 +74,11 @@
         }
 
     def mean_round_trip_ms(self, begin: float, end: float) -> float:
-        """Mean round trip of what was served."""
+        """Return the mean round trip of served requests, in ms."""
         round_trips = [entry.round_trip_ms for entry in self._between(RequestEvent.SERVED, begin, end)]
         return sum(round_trips) / max(len(round_trips), 1)
 
     def cold_cores(self, begin: float, end: float) -> float:
-        """Cores spent on work because data sets were not cached."""
+        """Return the cores used for additional work because data sets were not cached."""
         runs = self._between(RequestEvent.RAN, begin, end)
         return sum(entry.cold_work_ms for entry in runs) / (end - begin)
--- a/cottonhold/emulator/outage_setup.py
+++ b/cottonhold/emulator/outage_setup.py
@@ -1,4 +1,4 @@
-"""What the model of outages is made of: its setup, requests and engines. Times are ms."""
+"""The setup, requests and engines of the model of outages. Times are in ms."""
 
 from __future__ import annotations
 
@@ -10,13 +10,24 @@
 
 @dataclass(slots=True, frozen=True)
 class OutageSetup:
-    """What a world is made of.
+    """The setup of a model of outages.
 
-    rates: first attempts a second, by zone. round_trips_ms: between zones. own_data_sets, shared_data_sets:
-    of each zone's clients alone, and of all. cached_data_sets: that an engine caches; 0: all. cold_factor:
-    how many times longer a request takes on another. utilities: of requests, with their share of all.
-    decides: "outlook" (the cost estimator), "today" (the least loaded engine of all zones, and a fixed
-    reserve) or "nearest" (the same, own zone first). loss: share of site reports that are lost.
+    Attributes:
+        rates: First attempts per second, by zone.
+        round_trips_ms: Mean round trip between two zones, in ms.
+        engines: Number of engines in each zone.
+        instances: Number of instances in each zone.
+        own_data_sets: Number of data sets that only the clients of one zone use, for each zone.
+        shared_data_sets: Number of data sets that the clients of all zones use.
+        cached_data_sets: Number of data sets that an engine caches; 0 for all.
+        cold_factor: How many times longer a request takes whose data set is not cached.
+        mean_work_ms: Mean work of a request, in ms.
+        timeout_ms: Client's timeout, in ms.
+        utilities: Utilities of requests, each with its share of all requests.
+        decides: Policy: "outlook" (the cost estimator), "today" (the least loaded engine of all zones, and a
+            fixed reserve) or "nearest" (like "today", but with preference for the client's zone).
+        loss: Share of site reports that are lost.
+        settings: Settings of the cost estimator.
     """
 
     rates: Mapping[str, float]
@@ -37,7 +48,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request. home: its client's zone."""
+    """One request; `home` is its client's zone."""
 
     home: str
     utility: float
@@ -49,7 +60,7 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """An engine: one request at a time, a queue, and the data sets that it used last."""
+    """An engine that runs one request at a time, with a queue and a cache of the data sets used last."""
 
     zone: str
     speed: float = 1.0
@@ -59,7 +70,7 @@
     cached_sets: dict[str, None] = field(default_factory=dict)
 
     def use(self, data_set: str, max_cached: int) -> bool:
-        """Use a data set; return whether it was cached. It is now."""
+        """Use a data set, which is then cached; return whether it was cached before."""
         is_cached = data_set in self.cached_sets
         self.cached_sets.pop(data_set, None)
         self.cached_sets[data_set] = None
--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -1,8 +1,8 @@
-"""Outages in virtual time: clients with homes, zones at a distance, engines with cold data sets.
+"""A model of zone outages in virtual time, with round trips between zones and engines that cache data sets.
 
-A model for asking whether the cost estimator's projection is true and its decisions are useful. An instance
-serves the clients of its own zone. An engine caches the data sets that it used last; a request on another one
-takes longer. One seed replays the run. Times are ms; an engine does one ms of work a ms, times its speed.
+The model shows whether the cost estimator's projections are correct and its decisions useful. An instance
+serves the clients of its own zone. An engine caches the data sets that it used last; requests for others take
+longer. The seed determines the run. Times are in ms; an engine of speed 1 does 1 ms of work per ms.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 from cottonhold.fleet.zone_failover.zone_assessment import MIN_RETAINED_SHARE
 
 STEP_MS, LOAD_REPORT_INTERVAL_MS = 100.0, 250.0
-ANSWER_MARGIN_MS = 60.0  # a request is rejected so long before its timeout
-FAILURE_DELAY_MS = 300.0  # until a failed engine's request is known to have failed
+ANSWER_MARGIN_MS = 60.0  # time before its timeout at which a queued request is rejected
+FAILURE_DELAY_MS = 300.0  # time until a request at a failed engine is known to have failed
 MESSAGE_DELAY_MS = 2.0
-MAX_PREFERENCE_MS = 100.0  # queued longer than this, a request may go to any engine that idles
+MAX_PREFERENCE_MS = 100.0  # queueing time after which a request may be sent to any idle engine
 MAX_ZONE_CREDITS = 4.0
-MAX_BUDGET_REQUESTS = 4  # that may be saved for a zone which is evacuated in part
-MIN_IN_FLIGHT = 2  # requests at an engine or on the way that are always permitted
+MAX_BUDGET_REQUESTS = 4  # maximum of unused requests in the budget of a partly evacuated zone
+MIN_IN_FLIGHT = 2  # requests at an engine or on the way to it that are always permitted
 
 
 class Instance:
-    """One dispatcher of a zone's clients."""
+    """A dispatcher that serves the clients of one zone."""
 
     def __init__(self, world: OutageWorld, number: int, home: str) -> None:
         self.world, self.number, self.home = world, number, home
-        self.queue: list[tuple[float, int, Request]] = []  # by falling utility and time
+        self.queue: list[tuple[float, int, Request]] = []  # by descending utility, then by order
         self.in_flight_elsewhere: list[int] = []  # by server, as of the last load report
         self.demand = DemandSharing(number + 1, 1, 0.0, number)
         self.estimator = CostEstimator(number + 1, 1, 0.0, home, number, world.setup.settings)
@@ -48,7 +48,7 @@
         self.zone_credits: dict[str, float] = {}
 
     def on_request(self, now: float, request: Request) -> None:
-        """Count a request that arrives, and admit or reject it."""
+        """Record a request that arrives, and admit or reject it."""
         world, mean_work_ms = self.world, self.world.setup.mean_work_ms
         self.demand.on_request(now, request.utility, mean_work_ms, False)
         self.estimator.on_request(now, request.utility, mean_work_ms, request.data_set)
@@ -59,13 +59,13 @@
         self.enqueue(now, request)
 
     def enqueue(self, now: float, request: Request) -> None:
-        """Queue a request, the greatest utility first, and send what there is capacity for."""
+        """Queue a request by descending utility, and send requests while there is capacity."""
         request.queued_at = now
         heapq.heappush(self.queue, (-request.utility, next(self.world.serial), request))
         self.send(now)
 
     def send(self, now: float) -> None:
-        """Send what there is capacity for; answer what has timed out meanwhile."""
+        """Send queued requests while there is capacity, and drop those that have timed out."""
         setup = self.world.setup
         while self.queue:
             request = self.queue[0][2]
@@ -82,7 +82,7 @@
             self.world.send_to_server(now, self, server_number, request)
 
     def usable_cores(self, cores: float) -> float:
-        """Cores that the threshold may count on, as the estimator says."""
+        """Return the cores for the admission threshold: at most those that the estimator finds useful."""
         world = self.world
         if not world.remaining:
             return cores
@@ -91,12 +91,12 @@
         return cores if useful_cores is None else min(cores, useful_cores)
 
     def _used(self, server_number: int) -> int:
-        """Requests at a server, as far as the instance knows."""
+        """Return the requests in flight at a server, those of others as of the last load report."""
         own = self.world.servers[server_number].in_flight.get(self.number, 0)
         return own + (self.in_flight_elsewhere[server_number] if self.in_flight_elsewhere else 0)
 
     def _choose_server(self, now: float, request: Request) -> int | None:
-        """The server for a request, if any has capacity."""
+        """Return the number of the server for a request; None if none has capacity."""
         world = self.world
         used = {
             number: self._used(number)
@@ -119,7 +119,7 @@
         return chosen
 
     def _zones(self, now: float, request: Request, available: set[str], idle: set[str]) -> set[str]:
-        """The zones that a request may go to now."""
+        """Return the zones to which a request may be sent now."""
         world = self.world
         if world.setup.decides == "today":
             return available
@@ -148,10 +148,12 @@
 
 
 class OutageWorld:
-    """The model.
+    """The model: zones, servers, instances and clients; `lose_engines` and `slow_zone` cause faults.
 
-    Faults are set by `lose_engines` and `slow_zone`. remaining: the part of a zone's capacity that the fleet
-    uses, by zone. zones_out: zones that are evacuated, wholly or in part.
+    Attributes:
+        remaining: Share of its capacity that the fleet still uses, for each affected zone.
+        zones_out: Zones that are evacuated completely or in part.
+        known_down: Numbers of servers that the fleet knows to be down.
     """
 
     def __init__(self, seed: int, setup: OutageSetup) -> None:
@@ -164,12 +166,14 @@
         self.remaining: dict[str, float] = {}
         self.zones_out: tuple[str, ...] = ()
         self.known_down: set[int] = set()
-        self.budgets: dict[str, tuple[float, float]] = {}  # by zone: work that may be sent, and when counted
-        # By instance: how many times its demand it claims; it also claims all data sets as cached.
+        self.budgets: dict[
+            str, tuple[float, float]
+        ] = {}  # by zone: work that may be sent, and time of the last update
+        # By instance: factor by which it overstates its demand; it also reports all data sets as cached.
         self.claim_factors: dict[int, float] = {}
         homes = [zone for zone in self.zones for _ in range(setup.instances)]
         self.instances = [self.make_instance(number, home) for number, home in enumerate(homes)]
-        for server in self.servers:  # warm for its own clients, as after a long calm
+        for server in self.servers:  # caches hold data sets of the zone's own clients
             for data_set in self._data_sets(server.zone):
                 server.use(data_set, setup.cached_data_sets)
         for zone in self.zones:
@@ -180,36 +184,36 @@
             self.call_at(report_at, partial(self._report_load, instance))
 
     def make_instance(self, number: int, home: str) -> Instance:
-        """One of the dispatchers."""
+        """Return a new dispatcher; subclasses may return another kind."""
         return Instance(self, number, home)
 
     def call_at(self, when: float, action: Callable[[float], None]) -> None:
-        """Call an action with the time at a time."""
+        """Call an action at a time, with that time as its argument."""
         self.clock.call_at(when, lambda: action(self.clock.now))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run the model up to a time in ms."""
         self.clock.run(until)
 
     def lose_engines(self, zone: str, count: int | None = None) -> None:
-        """So many engines of a zone, or all, are gone, with what they ran."""
+        """Stop `count` engines of a zone, or all; their running requests fail."""
         for server in [s for s in self.servers if s.zone == zone and s.is_up][:count]:
             server.is_up = False
 
     def slow_zone(self, zone: str, speed: float) -> None:
-        """A zone's engines work at so much of their speed."""
+        """Set the speed of a zone's engines, as a share of the normal speed."""
         for server in self.servers:
             if server.zone == zone:
                 server.speed = speed
 
     def announce_remaining(self, remaining: Mapping[str, float]) -> None:
-        """The fleet has noticed an outage: so much of these zones' capacity remains."""
+        """Set the remaining share of each affected zone's capacity, once the fleet has detected an outage."""
         self.remaining = dict(remaining)
         self.zones_out = tuple(sorted(remaining))
         self.known_down = {number for number, server in enumerate(self.servers) if not server.is_up}
 
     def evacuate(self, now: float, zone: str, usable_share: float) -> float:
-        """Evacuate a faulty zone in part; return the share of its load that it retains, by who decides."""
+        """Evacuate a faulty zone; return the share that stays in use by the setup's decision policy."""
         if self.setup.decides == "outlook":
             retained = self.instances[0].estimator.retained_share(now, zone, usable_share) or 0.0
         else:
@@ -219,14 +223,14 @@
         return retained
 
     def _missing_share(self) -> float:
-        """The load that the other zones can't take, as a part of a zone's cores."""
+        """Return the load for which the other zones lack capacity, as a share of a zone's cores."""
         cores = float(self.setup.engines)
         offered_cores = sum(self.setup.rates.values()) * self.setup.mean_work_ms / 1000
         usable_cores = EvacuationSettings().usable_capacity_share * cores * (len(self.zones) - 1)
         return (offered_cores - usable_cores) / cores
 
     def is_usable(self, now: float, zone: str) -> bool:
-        """Whether a zone may be sent to; one that is evacuated in part within its budget."""
+        """Return whether requests may be sent to a zone; a partly evacuated one has a budget."""
         if zone not in self.remaining or self.remaining[zone] >= 1.0 or zone in self._partly_down_zones():
             return True
         mean_work_ms = self.setup.mean_work_ms
@@ -237,17 +241,17 @@
         return work_ms >= mean_work_ms
 
     def _partly_down_zones(self) -> set[str]:
-        """Zones with engines that are known to be down, and others that are up."""
+        """Return the zones of which some engines are known to be down and others are up."""
         zones = {self.servers[number].zone for number in self.known_down}
         return {zone for zone in zones if any(s.zone == zone and s.is_up for s in self.servers)}
 
     def max_in_flight(self, zone: str) -> int:
-        """Requests that may be at an engine or on the way, the same for all instances."""
+        """Return how many requests may be at an engine of a zone or on the way to it."""
         longest_ms = max(self.setup.round_trips_ms[home, zone] for home in self.zones)
         return MIN_IN_FLIGHT + math.ceil(longest_ms / self.setup.mean_work_ms)
 
     def shares(self, instance: Instance) -> tuple[tuple[str, float], ...]:
-        """Which zones serve an instance's clients now, by its estimator."""
+        """Return the zones that serve an instance's clients now, with shares, by its estimator."""
         plan = instance.estimator.plan
         reduced = {zone: share for zone, share in self.remaining.items() if share < 1.0}
         if plan is not None and dict(plan.remaining) == reduced:
@@ -256,13 +260,13 @@
         return instance.estimator.serving_zones(instance.home, *lost_zones)
 
     def _data_sets(self, home: str) -> dict[str, float]:
-        """Data sets of a zone's clients and how much they are used."""
-        own = [f"{home}/{i}" for i in range(self.setup.own_data_sets)]
+        """Return the data sets of a zone's clients with the weights of their use."""
+        local = [f"{home}/{i}" for i in range(self.setup.own_data_sets)]
         shared = [f"all/{i}" for i in range(self.setup.shared_data_sets)]
-        return {name: 1 / (1 + i) for i, name in enumerate(own + shared)}
+        return {name: 1 / (1 + i) for i, name in enumerate(local + shared)}
 
     def _arrive(self, home: str, now: float) -> None:
-        """A client's request arrives; the next one is scheduled."""
+        """Give a client's request to an instance, and schedule the zone's next arrival."""
         data_sets = self._data_sets(home)
         utilities, utility_shares = zip(*self.setup.utilities, strict=True)
         utility = self.draw.choices(utilities, utility_shares)[0]
@@ -289,7 +293,7 @@
     def _begin(
         self, now: float, instance: Instance, server: Server, request: Request, round_trip_ms: float
     ) -> None:
-        """A request arrives at an engine."""
+        """Run a request that arrives at an engine; it fails if the engine is down."""
         if not server.is_up:
             self.call_at(now + FAILURE_DELAY_MS, lambda now: self._on_failed(now, instance, server, request))
             return
@@ -313,7 +317,7 @@
         self.call_at(ends_at, lambda now: self._on_ended(now, instance, server, request, run))
 
     def _on_failed(self, now: float, instance: Instance, server: Server, request: Request) -> None:
-        """An attempt has failed with its engine: the request is queued again."""
+        """Queue the request of a failed attempt again."""
         server.in_flight[instance.number] -= 1
         instance.enqueue(now, request)
 
@@ -340,7 +344,7 @@
         for member, data in instance.demand.step(now, live_members, capacity):
             self._send_message(now, self.instances[member - 1].demand, data)
         observed_ms = instance.estimator.observations.round_trips_ms
-        for zone in self.zones:  # health checks measure distances too
+        for zone in self.zones:  # health checks measure round trips too
             observed_ms.setdefault(zone, self.setup.round_trips_ms[instance.home, zone])
         if decides:
             for member, data in instance.estimator.step(now, live_members, self.remaining):
@@ -356,7 +360,7 @@
         self.call_at(now + MESSAGE_DELAY_MS, deliver)
 
     def _claim(self, instance: Instance, data: bytes) -> bytes:
-        """What an instance reports, which may be false."""
+        """Return an instance's site report, falsified if it has a claim factor."""
         factor = self.claim_factors.get(instance.number, 1.0)
         if factor == 1.0:
             return data
@@ -369,7 +373,7 @@
         return encode_site_reports([replace(site, rates=rates, zones=zones)])
 
     def _report_load(self, instance: Instance, now: float) -> None:
-        """Tell an instance what the others have in flight, all at once."""
+        """Update an instance's counts of the requests that other instances have in flight."""
         instance.in_flight_elsewhere = [
             sum(count for number, count in server.in_flight.items() if number != instance.number)
             for server in self.servers
--- a/cottonhold/emulator/outages_in_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -1,4 +1,4 @@
-"""Outages in virtual time where the fleet's coordinator decides, as it does in service.
+"""A model of zone outages in virtual time in which the fleet's real coordinator decides.
 
 The world, its clients and its engines are those of outages.py. Each instance runs a coordinator: it sees by
 its own attempts what is lost, evacuates zones by votes, and sends within its bounds, to the least
@@ -21,7 +21,7 @@
 from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.settings import FleetSettings
 
-CANDIDATE_ENGINES = 8  # that the scheduler compares
+CANDIDATE_ENGINES = 8  # engines that the scheduler compares
 EJECTION_MS = 2000.0  # of an engine that failed
 CHECK_INTERVAL_MS = 500.0
 MIN_CANDIDATE_WEIGHT = 0.05
@@ -29,7 +29,7 @@
 
 
 class CoordinatedInstance(Instance):
-    """One dispatcher whose coordinator decides."""
+    """A dispatcher whose coordinator decides on zones and bounds."""
 
     world: ServiceWorld
 
@@ -49,11 +49,13 @@
         self.estimator = self.fleet.failover_cost or self.estimator
         self.credits = CreditAccount(number)
         self.ejected_until = dict[int, float]()  # by server
-        self.attempts = dict[int, tuple[str, float]]()  # in flight, by id(request): its id, and when sent
+        self.attempts = dict[
+            int, tuple[str, float]
+        ]()  # in flight, by id(request): its id, and time of sending
         self.serial = itertools.count()
 
     def on_request(self, now: float, request: Request) -> None:
-        """Count a request that arrives, and admit or reject it."""
+        """Record a request that arrives, and admit or reject it."""
         self.fleet.on_request(now, QUERY_CLASS)
         super().on_request(now, request)
 
@@ -75,7 +77,7 @@
         return min(candidates, key=lambda number: (self._used(number), world.draw.random()))
 
     def on_attempt_sent(self, now: float, server_number: int, request: Request) -> None:
-        """An attempt has been sent."""
+        """Record that an attempt was sent to a server."""
         engine = self.world.engine_ids[server_number]
         self.credits.spend(engine, self.world.setup.mean_work_ms)
         request_id = str(next(self.serial))
@@ -83,12 +85,12 @@
         self.fleet.on_attempt_sent(now, request_id, engine, QUERY_CLASS)
 
     def on_attempt_ended(self, now: float, request: Request, is_served: bool, work_ms: float = 0.0) -> None:
-        """An attempt has ended."""
+        """Record that an attempt has ended."""
         request_id, sent_at = self.attempts.pop(id(request))
         self.fleet.on_attempt_ended(now, request_id, is_served, now - sent_at, work_ms)
 
     def carry_out(self, now: float, actions: Iterable[Action]) -> None:
-        """Send messages, and apply bounds."""
+        """Execute the coordinator's actions: send messages and apply bounds."""
         for action in actions:
             if isinstance(action, SendFleetMessage):
                 target = self.world.coordinated[action.member - 1]
@@ -98,12 +100,12 @@
                 self.credits.set_bounds(now, action)
 
     def on_message(self, sender: int, data: bytes, now: float) -> None:
-        """Bytes from another instance have arrived."""
+        """Process a message from another instance."""
         self.carry_out(now, self.fleet.on_message(now, sender, data))
 
 
 class ServiceWorld(OutageWorld):
-    """The model; of faults by `lose_engines` and `slow_zone` nobody is told."""
+    """The model; instances have to detect faults by `lose_engines` and `slow_zone` themselves."""
 
     def __init__(self, seed: int, setup: OutageSetup) -> None:
         self.engine_ids = [f"{zone}{i}" for zone in sorted(setup.rates) for i in range(setup.engines)]
@@ -112,7 +114,7 @@
         self.call_at(CHECK_INTERVAL_MS, self._check_engines)
 
     def make_instance(self, number: int, home: str) -> Instance:
-        """One of the dispatchers."""
+        """Return a new dispatcher with a coordinator."""
         instance = CoordinatedInstance(self, number, home)
         self.coordinated.append(instance)
         return instance
--- a/cottonhold/emulator/overload.py
+++ b/cottonhold/emulator/overload.py
@@ -1,8 +1,8 @@
-"""Overload in virtual time: instances with their own policies, engines with queues, clients that retry.
+"""A model of overload in virtual time: instances with admission policies, engines with queues, and clients.
 
-A model, far cheaper than processes, for comparing who sheds what. An instance queues what it can't send,
-densest first, and knows what others have at an engine only by their last report. One seed replays the run.
-Times are ms; an engine does one ms of work a ms, times its speed.
+The model is far cheaper than processes and shows which requests each policy sheds. An instance queues the
+requests that it cannot send, densest first, and knows other instances' requests at an engine only from the
+last report. The seed determines the run. Times are in ms; an engine of speed 1 does 1 ms of work per ms.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from cottonhold.fleet.admission.threshold import DensityThreshold
 
 MAX_IN_FLIGHT = 2  # requests at an engine, from all instances together, as far as they know
-LOAD_REPORT_INTERVAL_MS = 250.0  # between two reports of what the others have in flight
+LOAD_REPORT_INTERVAL_MS = 250.0  # interval of the reports of other instances' requests in flight
 STEP_MS = 100.0
-ANSWER_MARGIN_MS = 60.0  # a request is rejected so long before its timeout
-RETRY_INTERVAL_MS = 200.0  # on average
-MIN_ATTEMPTS_PER_SHARE = 100  # of a class at an instance
+ANSWER_MARGIN_MS = 60.0  # time before its timeout at which a queued request is rejected
+RETRY_INTERVAL_MS = 200.0  # mean time until a client retries
+MIN_ATTEMPTS_PER_SHARE = 100  # attempts of a class at an instance that make its share meaningful
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,22 +41,32 @@
 
     @property
     def density(self) -> float:
-        """Utility by work."""
+        """Return the utility per ms of work."""
         return self.utility / self.mean_work_ms
 
 
 REQUEST_CLASSES = (RequestClass(1.0, share=0.6), RequestClass(6.0, share=0.4))
 
 
+class FinishedRequest(NamedTuple):
+    """The end of a request and whether it was answered within its timeout."""
+
+    arrived_at: float
+    ended_at: float
+    instance: int
+    class_number: int
+    is_in_time: bool
+
+
 class RequestEvent(StrEnum):
-    """What the model logs of a request."""
+    """Events of a request in the model's log."""
 
-    ARRIVED = "came"  # its first attempt
+    ARRIVED = "came"  # first attempt of a request
     ATTEMPTED = "try"
     SENT = "sent"
     SERVED = "served"
     LATE = "late"
-    REJECTED = "refused"  # its last attempt
+    REJECTED = "refused"  # last attempt of a request
 
 
 class LogEntry(NamedTuple):
@@ -70,7 +80,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request, over all its attempts."""
+    """One request with all its attempts."""
 
     class_number: int
     draw: float
@@ -82,7 +92,7 @@
 
 @dataclass(slots=True, eq=False)
 class Engine:
-    """One server with a queue."""
+    """An engine: one server with a queue."""
 
     speed: float = 1.0
     busy_until: float = 0.0
@@ -90,16 +100,16 @@
 
 
 class Instance:
-    """One dispatcher: its queue, what it knows of engines, and its policy."""
+    """A dispatcher with its queue, its view of the engines, and its admission policy."""
 
     def __init__(self, world: Overload, number: int, policy: Policy) -> None:
         self.world, self.number, self.policy = world, number, policy
-        self.queue: list[tuple[float, int, Request]] = []  # by falling density and time
+        self.queue: list[tuple[float, int, Request]] = []  # by descending density, then by order
         self.in_flight_elsewhere: dict[int, int] = {}  # by engine, as of the last load report
         self.demand = DemandSharing(number + 1, 1, 0.0, number, world.settings)
 
     def on_request(self, now: float, request: Request) -> None:
-        """Count a request that arrives, and admit or reject it."""
+        """Record a request that arrives, and admit or reject it."""
         request_class = self.world.class_of(request)
         request.arrived_at = now
         step = demand.density_step(request_class.utility, request_class.mean_work_ms)
@@ -118,7 +128,7 @@
         heapq.heappush(self.queue, (-density, next(self.world.serial), request))
 
     def send(self, now: float) -> None:
-        """Send what engines have capacity for; reject what has timed out meanwhile."""
+        """Send queued requests while engines have capacity; reject those that have timed out."""
         while self.queue:
             _, _, request = self.queue[0]
             if self._reject_if_timed_out(now, request):
@@ -133,12 +143,12 @@
             self.world.send_to_engine(now, self, engine_number, request)
 
     def expire(self, now: float) -> None:
-        """Reject all that has timed out, wherever it is queued."""
+        """Reject all queued requests that have timed out."""
         self.queue = [entry for entry in self.queue if not self._reject_if_timed_out(now, entry[2])]
         heapq.heapify(self.queue)
 
     def _reject_if_timed_out(self, now: float, request: Request) -> bool:
-        """Whether a request has timed out; then it is rejected."""
+        """Reject a request if it has timed out; return whether it has."""
         timeout_ms = self.world.class_of(request).timeout_ms
         if request.arrived_at + timeout_ms - ANSWER_MARGIN_MS > now:
             return False
@@ -147,12 +157,12 @@
         return True
 
     def on_admitted(self, wait: float, is_timed_out: bool) -> None:
-        """An admitted request was sent after a part of its timeout, or has timed out."""
+        """Record that an admitted request was sent, or timed out, after the share `wait` of its timeout."""
         self.policy.on_admitted(wait, is_timed_out)
         self.demand.on_admitted(wait, is_timed_out)
 
     def _engine_with_capacity(self) -> int | None:
-        """The least loaded engine; None if it is full."""
+        """Return the number of the least loaded engine; None if that is full."""
         own = [engine.in_flight.get(self.number, 0) for engine in self.world.engines]
         used = [count + self.in_flight_elsewhere.get(engine, 0) for engine, count in enumerate(own)]
         engine = min(range(len(used)), key=lambda number: (used[number], self.world.draw.random()))
@@ -160,26 +170,30 @@
 
 
 class Policy:
-    """Rejects nothing but what has timed out; with a threshold of its own, also what is below it."""
+    """An admission policy that admits all requests, or with a `threshold` those that it admits."""
 
     threshold: DensityThreshold | None = None
 
     def admits(self, instance: Instance, request: Request, step: int) -> bool:
-        """Whether a request of a density step is admitted."""
+        """Return whether a request of a density step is admitted."""
         return self.threshold is None or self.threshold.admits(step, request.draw)
 
     def on_admitted(self, wait: float, is_timed_out: bool) -> None:
-        """An admitted request was sent after a part of its timeout, or has timed out."""
+        """Record that an admitted request was sent, or timed out, after the share `wait` of its timeout."""
 
     def step(self, now: float, instance: Instance) -> None:
-        """Adapt to what was seen since the last step, ten times a second."""
+        """Adapt to the requests since the last step; called every STEP_MS."""
 
 
 class Overload:
-    """The model.
-
-    rate: first attempts a second over all instances, at a time. weights: the instances' parts of them.
-    marks_retries: whether clients say that an attempt is a retry. loss, delay_ms: of demand reports.
+    """The model of overload.
+
+    Attributes:
+        rate: Function from the time in ms to the first attempts per second at all instances together.
+        weights: Relative share of the first attempts at each instance.
+        marks_retries: Whether clients mark an attempt as a retry.
+        loss: Share of demand reports that are lost.
+        delay_ms: Delay of a demand report, in ms.
     """
 
     def __init__(
@@ -207,7 +221,7 @@
             self.make_instance(number, make_policy(number)) for number in range(len(self.weights))
         ]
         self.is_cut: Callable[[int, int], bool] = lambda sender, target: False
-        self.claim_factors: dict[int, float] = {}  # by instance: how many times its demand it claims
+        self.claim_factors: dict[int, float] = {}  # by instance: factor by which it overstates its demand
         self.sent_bytes = 0
         self.log: list[LogEntry] = []
         self.call_at(0.0, self._arrive)
@@ -216,19 +230,19 @@
             self.call_at(LOAD_REPORT_INTERVAL_MS * self.draw.random(), partial(self._report_load, instance))
 
     def make_instance(self, number: int, policy: Policy) -> Instance:
-        """An instance at the start."""
+        """Return a new instance; subclasses may return another kind."""
         return Instance(self, number, policy)
 
     def call_at(self, when: float, action: Callable[[float], None]) -> None:
-        """Call an action with the time at a time."""
+        """Call an action at a time, with that time as its argument."""
         self.clock.call_at(when, lambda: action(self.clock.now))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run the model up to a time in ms."""
         self.clock.run(until)
 
     def class_of(self, request: Request) -> RequestClass:
-        """The class of a request."""
+        """Return the class of a request."""
         return self.classes[request.class_number]
 
     def record(self, now: float, instance: int, request: Request, event: RequestEvent) -> None:
@@ -236,11 +250,11 @@
         self.log.append(LogEntry(now, instance, request.class_number, event))
 
     def capacity(self) -> float:
-        """Cores of the engines in use, as the endpoint list has them; their true speed may differ."""
+        """Return the cores of the listed engines; their actual speed may differ."""
         return float(self.engines_up)
 
     def set_engines_up(self, count: int) -> None:
-        """Set how many engines are up from now on, as the endpoint list says."""
+        """Set how many engines the engine list contains from now on."""
         self.engines_up = count
 
     def send_to_engine(self, now: float, instance: Instance, engine_number: int, request: Request) -> None:
@@ -254,7 +268,7 @@
         self.call_at(engine.busy_until, lambda now: self._on_served(now, instance, engine, request))
 
     def reject(self, now: float, request: Request) -> None:
-        """Reject a request; its client may retry, at any instance."""
+        """Reject a request; its client may retry at any instance."""
         if request.retries + 1 < self.max_attempts:
             request.retries += 1
             request.draw = 1.0 if self.marks_retries else self.draw.random()
@@ -281,7 +295,7 @@
         self.call_at(now + self.draw.expovariate(self.rate(now) / 1000), self._arrive)
 
     def _arrive(self, now: float) -> None:
-        """A client's request arrives; the next one is scheduled."""
+        """Give a client's request to an instance, and schedule the next arrival."""
         class_number, instance = self._draw_class(), self._draw_instance()
         request = Request(class_number, self.draw.random(), instance)
         self.record(now, instance, request, RequestEvent.ARRIVED)
@@ -300,7 +314,7 @@
         self.call_at(now + STEP_MS, partial(self._step, instance))
 
     def _send_demand_report(self, now: float, data: bytes, target: Instance) -> None:
-        receiver = target.demand  # not the one of a later incarnation
+        receiver = target.demand  # bound now, so that a later incarnation does not receive the report
 
         def deliver(now: float) -> None:
             receiver.on_message(now, data)
@@ -308,7 +322,7 @@
         self.call_at(now + self.delay_ms, deliver)
 
     def _claim(self, instance: Instance, data: bytes) -> bytes:
-        """What an instance reports, which may be false."""
+        """Return an instance's demand report, falsified if it has a claim factor."""
         factor = self.claim_factors.get(instance.number, 1.0)
         if factor == 1.0:
             return data
@@ -317,7 +331,7 @@
         return encode_demand_reports([replace(own, load=replace(own.load, rates=rates)), *others])
 
     def _report_load(self, instance: Instance, now: float) -> None:
-        """Tell an instance what the others have in flight, all at once: the scheduler's load reports."""
+        """Update an instance's counts of others' requests in flight, as the scheduler's load reports do."""
         instance.in_flight_elsewhere = {
             number: sum(engine.in_flight.values()) - engine.in_flight.get(instance.number, 0)
             if number < self.engines_up
@@ -328,7 +342,7 @@
         self.call_at(now + LOAD_REPORT_INTERVAL_MS, partial(self._report_load, instance))
 
     def served_shares(self, begin: float, end: float) -> dict[tuple[int, int], float]:
-        """Share of attempts that were served, by instance and class, where there were enough attempts."""
+        """Return the share of served attempts by instance and class, where there were enough attempts."""
         entries = [entry for entry in self.log if begin <= entry.at < end]
         keys = sorted({(entry.instance, entry.class_number) for entry in entries})
         attempts, served = dict.fromkeys(keys, 0), dict.fromkeys(keys, 0)
@@ -338,7 +352,7 @@
         return {key: served[key] / n for key, n in attempts.items() if n >= MIN_ATTEMPTS_PER_SHARE}
 
     def utility(self, begin: float, end: float) -> tuple[float, float]:
-        """Utility served, and the greatest possible one: the densest first attempts that engines can do."""
+        """Return the utility served, and the largest possible one: that of the densest first attempts."""
         entries = [(entry.class_number, entry.event) for entry in self.log if begin <= entry.at < end]
         served = sum(self.classes[c].utility for c, event in entries if event is RequestEvent.SERVED)
         remaining_ms = sum(engine.speed for engine in self.engines[: self.engines_up]) * (end - begin)
--- a/cottonhold/emulator/process_fleet.py
+++ b/cottonhold/emulator/process_fleet.py
@@ -1,4 +1,4 @@
-"""Real instances on loopback as processes, and stand-in engines that count who checks their health.
+"""Real instances as processes on loopback, and emulated engines that record who checks their health.
 
 Ends only the processes that it started.
 """
@@ -29,7 +29,7 @@
 STATE_TIMEOUT_S = 60.0
 LOG_TAIL_CHARACTERS = 1500
 CHECKS_PER_SAMPLE = 3  # of each engine
-# Below the ports that the kernel gives to connects: one of those could be taken before its process binds it.
+# Below the kernel's ephemeral ports, which other connections could use before a process binds its port.
 FIRST_PORT, LAST_PORT = 15_000, 32_000
 BLOCK_PORTS = 200
 
@@ -46,7 +46,7 @@
         self.ports = itertools.cycle(range(first + 1, first + BLOCK_PORTS))
 
     def _claim_first_port(self) -> int:
-        """Bind the first port of a block that nobody claims."""
+        """Bind the first port of a block that no process claims."""
         draw = random.SystemRandom()
         while True:
             first = draw.randrange(FIRST_PORT, LAST_PORT, BLOCK_PORTS)
@@ -69,12 +69,12 @@
 
 @functools.cache
 def _block_of(process_id: int) -> PortBlock:
-    """The block of a process; a forked process claims one of its own."""
+    """Return the block of a process; a forked process claims its own."""
     return PortBlock()
 
 
 def free_ports(count: int, kind: socket.SocketKind) -> list[int]:
-    """Return ports that are free, and that no other process of ours draws while this one lives."""
+    """Return ports that are free and that no other process returns while this one runs."""
     return _block_of(os.getpid()).allocate(count, kind)
 
 
@@ -146,15 +146,15 @@
         self.loop.close()
 
     def view(self, number: int) -> dict[str, Any]:
-        """What an instance shows at its local socket."""
+        """Return the view that an instance shows at its local socket."""
         return call_instance(self.folder / f"n{number}.sock", {"call": "view"})
 
     def views(self) -> dict[int, dict[str, Any]]:
-        """The view of each running instance, by number."""
+        """Return the view of each running instance, by number."""
         return {number: self.view(number) for number in self.processes}
 
     def has_converged(self) -> bool:
-        """Whether all running instances see exactly each other, and agree who holds each duty."""
+        """Return whether all running instances see exactly each other and agree on all duties' holders."""
         try:
             views = self.views()
         except OSError:
@@ -182,7 +182,7 @@
         return time.monotonic() - started_at
 
     def checkers(self) -> dict[str, set[int]]:
-        """The dispatchers (by their ports) that check each engine's health, over the next few checks."""
+        """Return the dispatchers, by port, that check each engine's health during the next few checks."""
         counts = {engine_id: len(engine.health_checks) for engine_id, engine in self.engines.items()}
 
         def has_sample() -> bool:
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -1,16 +1,15 @@
-"""A power loss in virtual time: engines come back cold, instances one by one, with coordinators.
+"""A model of the return of power, in virtual time: engines restart cold, and instances restart one by one.
 
-Instances, clients and their timeouts are those of overload.py, credits those of credit_account.py. Here each
-instance runs a whole coordinator: messages may be lost, and an instance knows members and the endpoint list
-only a while after its start. A client belongs to one instance and retries there; while that is down it can't
-send at all. Times are ms from the return of power.
+Instances, clients and timeouts are those of overload.py, credits those of credit_account.py. Each instance
+runs a real coordinator. Messages may be lost, and an instance knows the members and the engine list only some
+time after its start. A client retries at its own instance only, and cannot send while that instance is down.
+Times are in ms from the return of power.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 from functools import partial
-from typing import NamedTuple
 
 from cottonhold.emulator.admission_policies import SharedThreshold
 from cottonhold.emulator.credit_account import CreditAccount
@@ -19,6 +18,7 @@
     MAX_IN_FLIGHT,
     RETRY_INTERVAL_MS,
     STEP_MS,
+    FinishedRequest,
     Instance,
     Overload,
     Request,
@@ -40,29 +40,19 @@
 )
 MEAN_WORK_MS = sum(c.mean_work_ms * c.share for c in REQUEST_CLASSES)
 ZONES = "abc"
-MEMBERS_KNOWN_MS, LIST_KNOWN_MS, SURVEY_MS = 100.0, 300.0, 30.0  # after an instance's start
-SCHEDULER_COLD_SHARE = 0.15  # that all instances together send to a cold engine without slow start
+MEMBERS_KNOWN_MS, LIST_KNOWN_MS, SURVEY_MS = 100.0, 300.0, 30.0  # times after an instance's start
+SCHEDULER_COLD_SHARE = 0.15  # cold engine's share of capacity that all instances use without slow start
 SCHEDULER_BOUNDS_MS = 500.0
-EJECTION_MS = 400.0  # of an engine that was not reached
+EJECTION_MS = 400.0  # time without requests for an unreachable engine
 CONNECT_FAILURE_MS = 1.0
-CHECK_INTERVAL_MS = 100.0  # between an instance's health checks
+CHECK_INTERVAL_MS = 100.0  # interval of an instance's health checks
 STEP_MARGIN_MS = 1e-3
-SLOT_MS = 100.0  # of the estimate of what was possible
+SLOT_MS = 100.0  # time slot of the estimate of the possible service
 BOUND_TOLERANCE = 1e-6
 
 
-class FinishedRequest(NamedTuple):
-    """How a request ended."""
-
-    arrived_at: float
-    ended_at: float
-    instance: int
-    class_number: int
-    is_in_time: bool
-
-
 class RestartedInstance(Instance):
-    """An instance with a coordinator, without any memory."""
+    """An instance that restarted without any stored state, with its coordinator."""
 
     world: PowerReturn
 
@@ -76,15 +66,15 @@
         self.demand = self.fleet.demand
         self.credits = CreditAccount(number, is_warming_up=True)
         self.ejected_until: dict[int, float] = {}  # by engine
-        self.outage_scope: OutageScope | None = None  # as far as its survey has found
+        self.outage_scope: OutageScope | None = None  # as found by its survey so far
         self.retry_after_ms = 0.0
 
     def _engine_with_capacity(self) -> int | None:
         world, now = self.world, self.world.clock.now
         if self.fleet.slow_start is None and now < self.started_at + LIST_KNOWN_MS:
-            return None  # nothing is known of engines yet
-        # As the scheduler does, by its own share of the capacity: else those that hold all places of a full
-        # engine keep them, since they are the first to see one free.
+            return None  # the engine list is not known yet
+        # As in the scheduler, an instance below its share of the capacity has a higher limit. Otherwise the
+        # instances with requests at a full engine would keep it, as they are the first to see a free place.
         fair_share = MAX_IN_FLIGHT * len(world.engines) / len(world.running)
         own = sum(engine.in_flight.get(self.number, 0) for engine in world.engines)
         limit = 2 * MAX_IN_FLIGHT if own + 1 <= fair_share else MAX_IN_FLIGHT
@@ -93,7 +83,7 @@
         best, least_used = None, (limit, 0.0)
         for number, engine in enumerate(world.engines):
             name = world.engine_names[number]
-            # A bound paces what goes there; what others had in flight a while ago need not count as well.
+            # A bound already limits the sends to this engine, so other instances' older counts are left out.
             elsewhere = 0 if name in bounded else self.in_flight_elsewhere.get(number, 0)
             used = engine.in_flight.get(self.number, 0) + elsewhere, world.draw.random()
             if used >= least_used or self.ejected_until.get(number, 0.0) > now:
@@ -103,7 +93,7 @@
         return best
 
     def carry_out(self, now: float, actions: Iterable[object]) -> None:
-        """Carry out the coordinator's actions."""
+        """Execute the coordinator's actions."""
         for action in actions:
             match action:
                 case SendFleetMessage(member, data):
@@ -114,22 +104,24 @@
                     self.retry_after_ms = action.retry_after_ms
 
     def survey(self, now: float) -> None:
-        """Find out the outage's scope: only this instance, then the fleet once more than half are heard."""
-        heard = 1 + len(self.fleet.live)
+        """Update the outage's scope: this instance alone, then the fleet once a majority is visible."""
+        visible = 1 + len(self.fleet.live)
         if self.outage_scope is None and now - self.started_at >= SURVEY_MS:
             self.outage_scope = OutageScope.ALONE
             self.fleet.on_loss(now, OutageScope.ALONE)
-        if self.outage_scope is OutageScope.ALONE and 2 * heard > len(self.world.running):
+        if self.outage_scope is OutageScope.ALONE and 2 * visible > len(self.world.running):
             self.outage_scope = OutageScope.FLEET
             first_start = min(other.started_at for other in self.world.running if other is not None)
             self.fleet.on_loss(now, OutageScope.FLEET, since=first_start)
 
 
 class PowerReturn(Overload):
-    """The model. `settings.slow_start` of the coordinators is what is compared.
+    """The model of the return of power; runs differ in the coordinators' `settings.slow_start`.
 
-    dark_zone: its engines do not come back. The counts: bound_violations of bound_checks; blind_sends to
-    engines that are down and that the instance can't know of.
+    Attributes:
+        dark_zone: Zone whose engines do not return; empty for none.
+        bound_violations: Number of checks of the engine bounds that failed, of `bound_checks`.
+        blind_sends: Number of sends to engines that were down without the instance knowing it.
     """
 
     def __init__(
@@ -145,8 +137,8 @@
         self.check_rounds = self._plan_check_rounds()
         self.finished: list[FinishedRequest] = []
         self.power_losses = self.bound_violations = self.bound_checks = self.blind_sends = 0
-        self.former_shares: dict[str, float] = {}  # by engine: its slow start's share at the last check
-        self.slow_start_cores: dict[int, float] = {}  # by step: cores that slow start permitted
+        self.former_shares: dict[str, float] = {}  # by engine: slow start's share at the last check
+        self.slow_start_cores: dict[int, float] = {}  # by step: cores permitted by slow start
         super().__init__(
             seed, lambda now: rate, weights or [1.0] * instances, lambda number: SharedThreshold(), engines,
             classes=REQUEST_CLASSES, loss=loss,
@@ -157,7 +149,7 @@
         self.call_at(50.0, self._check_bounds)
 
     def _plan_check_rounds(self) -> list[dict[int, list[int]]]:
-        """For each round of health checks: the engines that each instance checks."""
+        """Return, for each round of health checks, the engines that each instance checks."""
         count = len(self.running)
         rounds: list[dict[int, list[int]]] = [{} for _ in range(count)]
         for engine, name in enumerate(self.engine_names):
@@ -189,13 +181,13 @@
         instance = RestartedInstance(self, number, now)
         self.running[number] = self.instances[number] = instance
         self.call_at(now, partial(self._step, instance))
-        # At a drawn time, or instances that start at a multiple of the interval apart would hear of free
-        # engines at one moment, always in the same order.
+        # The first report is at a random time. Otherwise instances whose starts differ by a multiple of the
+        # interval would learn of free engines at the same moment, always in the same order.
         report_at = now + LOAD_REPORT_INTERVAL_MS * self.draw.random()
         self.call_at(report_at, partial(self._report_load, instance))
 
     def speed(self, now: float, engine: int) -> float:
-        """What an engine does now, as a part of what it does when warm."""
+        """Return an engine's current speed as a share of its speed when warm."""
         return self.plan.speed(now - self.engine_started_at[engine])
 
     def _is_running(self, instance: Instance) -> bool:
@@ -219,20 +211,20 @@
         self.call_at(max(fleet.next_at(), now) + STEP_MARGIN_MS, partial(self._step, instance))
 
     def _known_members(self, now: float, instance: RestartedInstance) -> Iterable[int]:
-        """The other members that an instance knows."""
+        """Return the other members that an instance knows."""
         if now - instance.started_at < MEMBERS_KNOWN_MS:
             return ()
         started = [o for o in self.running if o is not None and now - o.started_at >= MEMBERS_KNOWN_MS]
         return {other.number + 1 for other in started} - {instance.number + 1}
 
     def _scheduler_bounds(self, now: float) -> EngineBounds:
-        """The scheduler's own slow start: a share of each cold engine, for as long as it warms up."""
+        """Return the bounds of the scheduler's own slow start: a share of each engine until it is warm."""
         share = SCHEDULER_COLD_SHARE / len(self.running)
         cold = [name for number, name in enumerate(self.engine_names) if self.speed(now, number) < 1.0]
         return EngineBounds(dict.fromkeys(cold, share), now + SCHEDULER_BOUNDS_MS)
 
     def _check_engines(self, now: float, instance: RestartedInstance) -> None:
-        """Health checks by an instance whose turn it is; good results reach all members that it knows."""
+        """Run the checks of an instance's round; successful results reach all members that it knows."""
         round_number = int((now - instance.started_at) / CHECK_INTERVAL_MS) % len(self.running)
         for engine in self.check_rounds[round_number].get(instance.number, ()):
             name, is_up = self.engine_names[engine], self.engine_started_at[engine] <= now
@@ -278,7 +270,7 @@
         )
 
     def reject(self, now: float, request: Request) -> None:
-        """Reject a request; its client may retry, at the same instance."""
+        """Reject a request; its client may retry at the same instance."""
         instance = self.running[request.instance]
         if request.retries + 1 >= self.max_attempts or instance is None:
             self._finish(now, request, is_in_time=False)
@@ -294,7 +286,7 @@
         self.call_at(now + interval_ms, retry)
 
     def send_to_engine(self, now: float, instance: Instance, engine_number: int, request: Request) -> None:
-        """Send a request to an engine; from one that is down it returns at once."""
+        """Send a request to an engine; if the engine is down, the request is queued again."""
         assert isinstance(instance, RestartedInstance)
         engine, name = self.engines[engine_number], self.engine_names[engine_number]
         request_class = self.class_of(request)
@@ -303,7 +295,7 @@
         instance.fleet.on_attempt_sent(now, request_id, name, request.class_number)
         instance.credits.spend(name, work_ms)
         if self.engine_started_at[engine_number] > now:
-            # Neither listed nor answering: nothing can have proven that the engine is there.
+            # Before the engine list is known, the instance cannot tell that the engine is down.
             self.blind_sends += now < instance.started_at + LIST_KNOWN_MS
             instance.ejected_until[engine_number] = now + EJECTION_MS
             instance.fleet.on_attempt_ended(now, request_id, False, CONNECT_FAILURE_MS)
@@ -328,7 +320,7 @@
         self.call_at(engine.busy_until, on_served)
 
     def _check_bounds(self, now: float) -> None:
-        """The bounds of all instances never add up to more than the greatest share by slow start."""
+        """Check that the bounds of all instances together do not exceed the largest share by slow start."""
         up = [i for i in self.running if i is not None and i.fleet.slow_start is not None]
         self.slow_start_cores[int(now // STEP_MS)] = self._permitted_cores(now, up)
         for name in self.engine_names if up else ():
@@ -339,13 +331,13 @@
             slow_starts = [i.fleet.slow_start for i in up if i.fleet.slow_start is not None]
             share = max(s.warming[name].share if name in s.warming else 1.0 for s in slow_starts)
             self.bound_checks += 1
-            # A bound stands until the next step, so the share at the last check counts as well.
+            # A bound remains valid until the next step, so the share at the last check is permitted too.
             former_share, self.former_shares[name] = self.former_shares.get(name, 1.0), share
             self.bound_violations += total > max(share, former_share) + BOUND_TOLERANCE
         self.call_at(now + STEP_MS, self._check_bounds)
 
     def _permitted_cores(self, now: float, up: Sequence[RestartedInstance]) -> float:
-        """Cores of engines that slow start permits to use now."""
+        """Return how many cores of the engines slow start permits to use now."""
         cores = 0.0
         for number, name in enumerate(self.engine_names if up else ()):
             shares = [i.fleet.slow_start.share(name) if i.fleet.slow_start else 1.0 for i in up]
@@ -355,10 +347,10 @@
         return cores
 
     def possible_utility(self, begin: float, end: float, by_slow_start: bool = False) -> float:
-        """The greatest utility that engines could serve of what arrived, densest first.
+        """Return the largest utility of arrived requests that the engines could serve, densest first.
 
-        What belongs to instances that are down lies idle while an engine is cold. by_slow_start: with no
-        more cores than slow start permitted.
+        While an engine is cold, the share of instances that are down is not used. With `by_slow_start`, only
+        the cores that slow start permitted are used.
         """
         arrivals: dict[int, list[float]] = {}  # by slot: requests of each class
         for at, _, class_number, event in self.log:
@@ -381,7 +373,7 @@
         return utility
 
     def _possible_cores(self, now: float) -> float:
-        """Cores of the engines that are up, of cold ones for the instances that are up."""
+        """Return the usable cores; of a cold engine, only the share of the instances that are up."""
         power_age_ms = now - self.plan.power_returned_at(now)
         count = len(self.running)
         up = sum(self.plan.instance_delay_ms(number) <= power_age_ms for number in range(count))
@@ -393,12 +385,12 @@
         return cores
 
     def arrived_utility(self, begin: float, end: float) -> float:
-        """Utility of the first attempts that arrived at instances that were up."""
+        """Return the utility of the requests that arrived at running instances, without retries."""
         entries = [entry for entry in self.log if begin <= entry.at < end]
         arrived = [entry for entry in entries if entry.event is RequestEvent.ARRIVED]
         return sum(self.classes[entry.class_number].utility for entry in arrived)
 
     def served_utility(self, begin: float, end: float) -> float:
-        """Utility of the requests that were served in time."""
+        """Return the utility of the requests that were served in time."""
         ended = [request for request in self.finished if begin <= request.ended_at < end]
         return sum(self.classes[request.class_number].utility for request in ended if request.is_in_time)
--- a/cottonhold/emulator/replacement_fleet.py
+++ b/cottonhold/emulator/replacement_fleet.py
@@ -21,9 +21,9 @@
 )
 from cottonhold.fleet.rolling_replacement.plan_codec import decode_plan, decode_record
 
-DEATH_NOTICE_MS = 1200.0  # until membership reports a death
-JOIN_NOTICE_MS = 300.0  # until membership reports a host that has joined
-CHECK_INTERVAL_MS = 100.0  # of a condition that a run waits for
+DEATH_NOTICE_MS = 1200.0  # time until membership reports that a host died
+JOIN_NOTICE_MS = 300.0  # time until membership reports a host that has joined
+CHECK_INTERVAL_MS = 100.0  # interval at which run_until checks its condition
 INITIAL_STICKY_KEYS = 350
 ZONES = "abc"
 ACTIVE_STEPS = frozenset(
@@ -41,8 +41,11 @@
 class Host:
     """One machine with its dispatcher.
 
-    is_in_membership_table: a drained host leaves the table of key owners once its keys are moved.
-    undelivered: what arrived while its process was paused.
+    Attributes:
+        is_in_membership_table: Whether the host may own keys; a drained host leaves the membership table once
+            its keys are moved.
+        votes_from: Time from which the host votes.
+        undelivered: Actions that were due while the process was paused.
     """
 
     name: str
@@ -62,10 +65,12 @@
 
 @dataclass(slots=True, frozen=True)
 class NetworkFaults:
-    """What goes wrong on the network besides the faults of a case.
+    """Faults of the network, besides the faults of a case.
 
-    loss: share of messages that are lost. duplication: share of register operations that are carried out
-    twice. max_delay_ms: of a message.
+    Attributes:
+        loss: Share of messages that are lost.
+        duplication: Share of register operations that are executed twice.
+        max_delay_ms: Maximum delay of a message, in ms.
     """
 
     loss: float = 0.0
@@ -75,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Link:
-    """Whether one host reaches another, and since when."""
+    """The state of the link between two hosts, and the time since which it has that state."""
 
     is_connected: bool
     since: float
@@ -94,12 +99,12 @@
         }
         self.partitions: dict[str, int] = {}  # by host
         self.links: dict[tuple[str, str], Link] = {}
-        self.zone_troubles: dict[str, tuple[str, float]] = {}  # by zone: what it is, and since when
+        self.zone_troubles: dict[str, tuple[str, float]] = {}  # by zone: description, and time of its start
         self.registers: dict[str, tuple[int, bytes]] = {}  # by name: version and value
 
     @property
     def now(self) -> float:
-        """The time on the simulated clock."""
+        """Return the time of the simulated clock, in ms."""
         return self.clock.now
 
     def call_at(self, when: float, action: Action) -> None:
@@ -107,18 +112,18 @@
         self.clock.call_at(when, action)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run the model up to a time in ms."""
         self.clock.run(until)
 
     def run_until(self, is_done: Callable[[], bool], timeout_ms: float) -> bool:
-        """Let time pass until a condition holds; return whether it did in time."""
+        """Run the model until a condition holds; return whether it did in time."""
         end = self.now + timeout_ms
         while self.now < end and not is_done():
             self.run(self.now + CHECK_INTERVAL_MS)
         return is_done()
 
     def deliver(self, host: Host, incarnation: int, action: Action) -> None:
-        """Run an action at a host's process if it is still the same; later if that is paused."""
+        """Run an action at a host's process, unless it was restarted; after its pause if it is paused."""
         if host.is_up and host.incarnation == incarnation:
             if host.paused_until > self.now:
                 host.undelivered.append(action)
@@ -126,37 +131,37 @@
                 action()
 
     def is_running(self, host: Host) -> bool:
-        """Whether a host's process is up and not paused."""
+        """Return whether a host's process is up and not paused."""
         return host.is_up and host.paused_until <= self.now
 
     def is_voting(self, host: Host) -> bool:
-        """Whether a host's memory is complete, so that it votes."""
+        """Return whether a host votes, which requires complete stored state."""
         return host.votes_from <= self.now
 
     def are_connected(self, name: str, other: str) -> bool:
-        """Whether two hosts are in the same partition."""
+        """Return whether two hosts are in the same partition."""
         return self.partitions.get(name, 0) == self.partitions.get(other, 0)
 
     def has_majority(self, host: Host) -> bool:
-        """Whether a host reaches more than half of the voters."""
+        """Return whether a host reaches more than half of the voters."""
         voters = [h for h in self.hosts.values() if self.is_running(h) and self.is_voting(h)]
         return 2 * sum(self.are_connected(host.name, h.name) for h in voters) > self.host_count
 
     def plan(self) -> ReplacementPlan:
-        """The plan in its register."""
+        """Return the replacement plan in its register."""
         return decode_plan(self.registers.get(PLAN_REGISTER, (0, b""))[1])
 
     def record(self, machine: str) -> MachineRecord | None:
-        """The record in a machine's register."""
+        """Return the record in a machine's register."""
         return decode_record(self.registers.get(register_name(machine), (0, b""))[1])
 
     def are_over(self, *machines: str) -> bool:
-        """Whether the replacements of all these machines have ended, and no machine is out."""
+        """Return whether the replacements of all these machines have ended and no machine is out."""
         records = [self.record(m) for m in machines]
         return all(r is not None and r.is_over for r in records) and not self.plan().active_machine_ids
 
     def driver(self, machine: str) -> str:
-        """The name of the host that drives a machine's replacement; empty if none does."""
+        """Return the name of the host that drives a machine's replacement; empty if none does."""
         record = self.record(machine)
         names = {machine_id(name): name for name in self.hosts}
         return names.get(record.driver, "") if record is not None else ""
--- a/cottonhold/emulator/replacement_invariants.py
+++ b/cottonhold/emulator/replacement_invariants.py
@@ -1,4 +1,4 @@
-"""What must never happen during a rolling replacement, checked from outside at each change and effect."""
+"""The invariants of a rolling replacement, checked by the model at each register change and action."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 )
 from cottonhold.fleet.rolling_replacement.plan_codec import decode_plan, decode_record
 
-ZONE_NOTICE_MS = 500.0  # by then every host knows of a zone's trouble
+ZONE_NOTICE_MS = 500.0  # time after which every host knows of a zone's problem
 CHECKED_TICKS = 40  # of voters that were up
 
 RecordListener = Callable[[str, MachineRecord], None]
 
 
 class ReplacementInvariants:
-    """Collects breaches of the rules, takeover times, and the steps that each machine went through.
+    """Collects violations of the invariants, takeover times, and the steps of each machine.
 
-    `record_listeners` are called with a machine's name and record after each change of it.
+    `record_listeners` are called with a machine's name and record after each change of the record.
     """
 
     def __init__(self, fleet: SimulatedFleet) -> None:
@@ -37,11 +37,11 @@
         self._voters_up: list[tuple[float, frozenset[str]]] = []  # at each tick
 
     def breach(self, what: str) -> None:
-        """Note that a rule was broken."""
+        """Record the violation of an invariant."""
         self.breaches.append(f"{self.fleet.now:.0f}: {what}")
 
     def on_effect(self, host: Host, machine: str, epoch: int) -> None:
-        """A host acts on a machine: only one host may do so under an epoch, and none under an older one."""
+        """Check that only one host acts on a machine in an epoch, and none in an older epoch."""
         newest = self._newest_effects.get(machine, (-1, ""))
         if epoch < newest[0]:
             self.breach(f"{host.name} acts on {machine} under epoch {epoch} after {newest[0]}")
@@ -50,11 +50,11 @@
         self._newest_effects[machine] = max(newest, (epoch, host.name))
 
     def is_fenced(self, machine: str, epoch: int) -> bool:
-        """Whether a machine was acted on under a newer epoch."""
+        """Return whether a host has acted on a machine in a newer epoch."""
         return epoch < self._newest_effects[machine][0]
 
     def on_register_changed(self, name: str, before: bytes, after: bytes) -> None:
-        """A register has got another value."""
+        """Check a register's new value."""
         if name == PLAN_REGISTER:
             self._check_starts(before, after)
             return
@@ -79,7 +79,7 @@
             listener(machine, record)
 
     def _check_starts(self, before: bytes, after: bytes) -> None:
-        """No machine is taken out while a zone's trouble is known."""
+        """Check that no machine is taken out while a problem of a zone is known."""
         for started in set(decode_plan(after).active_machine_ids) - set(
             decode_plan(before).active_machine_ids
         ):
@@ -91,7 +91,7 @@
         return {name: self.fleet.record(name) for name in self.fleet.hosts}
 
     def _check_limits(self) -> None:
-        """No more machines and zones are out at a time than the plan permits."""
+        """Check that no more machines and zones are out at the same time than the plan permits."""
         plan = self.fleet.plan()
         out = [m for m, r in self._records().items() if r is not None and r.step in ACTIVE_STEPS]
         if len(out) > plan.max_concurrent:
@@ -100,7 +100,7 @@
             self.breach(f"{out} are out, in more than {plan.max_zones} zones")
 
     def _check_emptied(self, machine: str, step: ReplacementStep) -> None:
-        """A machine drains only without sticky keys, and goes out only when no key owner any more."""
+        """Check that a machine drains only without sticky keys, and is out only once it may not own keys."""
         host = self.fleet.hosts[machine]
         if host.sticky_keys:
             self.breach(f"{machine} is {step.name} with {host.sticky_keys} pins")
@@ -108,17 +108,17 @@
             self.breach(f"{machine} goes out with its place in the table")
 
     def _check_quorum(self, machine: str) -> None:
-        """A majority of the voters stays up when a machine goes out."""
+        """Check that a majority of the voters stays up when a machine is taken out."""
         out = {m for m, r in self._records().items() if r is not None and r.step is ReplacementStep.OUT}
         out.add(machine)
-        # Of a fault a moment ago the driver can't know.
+        # The driver cannot know of a fault that occurred just before.
         known_since = self.fleet.now - 1.5 * DEATH_NOTICE_MS
         remaining = [len(up - out) for at, up in self._voters_up[-CHECKED_TICKS:] if at > known_since]
         if remaining and max(remaining) <= self.fleet.host_count // 2:
             self.breach(f"{machine} goes out and leaves {max(remaining)} of {self.fleet.host_count} voters")
 
     def on_tick(self) -> None:
-        """Note which voters are up, and since when replacements have had no running driver."""
+        """Record which voters are up, and since when replacements have had no running driver."""
         fleet = self.fleet
         voters = frozenset(h.name for h in fleet.hosts.values() if fleet.is_voting(h) and fleet.is_running(h))
         self._voters_up.append((fleet.now, voters))
@@ -127,14 +127,14 @@
                 self._driverless_since.setdefault(machine, fleet.now)
             else:
                 self._driverless_since.pop(machine, None)
-        # Nobody can take over without a majority.
+        # No host can take over without a majority.
         if not any(
             h.coordinator and fleet.is_running(h) and fleet.has_majority(h) for h in fleet.hosts.values()
         ):
             self._driverless_since.clear()
 
     def _is_driverless(self, machine: str) -> bool:
-        """Whether a machine's replacement is active and its driver's process does not run."""
+        """Return whether a machine's replacement is active and its driver's process does not run."""
         record = self.fleet.record(machine)
         if record is None or record.step not in ACTIVE_STEPS:
             return False
--- a/cottonhold/emulator/replacement_registers.py
+++ b/cottonhold/emulator/replacement_registers.py
@@ -1,4 +1,4 @@
-"""Operations on the simulated registers: late, lost and carried out twice, as the seed draws.
+"""Operations on the simulated registers, which may be delayed, lost or executed twice at random.
 
 An operation succeeds if its host reaches a majority of the voters at that moment. Times are ms.
 """
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How an operation ended. has_won: None if that is unknown."""
+    """The outcome of an operation; `has_won` is None if it is unknown."""
 
     has_won: bool | None
     version: int
@@ -41,13 +41,13 @@
 
 
 class RegisterOperations:
-    """Carries out the operations of a fleet's coordinators on its registers."""
+    """Executes the operations of a fleet's coordinators on its registers."""
 
     def __init__(self, fleet: SimulatedFleet, invariants: ReplacementInvariants) -> None:
         self.fleet, self.invariants = fleet, invariants
 
     def operate(self, host: Host, operation: Operation) -> None:
-        """Begin an operation; it is retried until it succeeds or times out."""
+        """Start an operation; it is retried until it succeeds or times out."""
         assert host.coordinator is not None
         pending = PendingOperation(host, host.coordinator, host.incarnation, operation, self.fleet.now)
         self.fleet.call_at(self.fleet.now + self._draw_delay_ms(), lambda: self._attempt(pending))
@@ -74,7 +74,7 @@
             again_at = fleet.now + 3 * faults.max_delay_ms * draw.random()
             fleet.call_at(again_at, lambda: self._apply_again(pending.operation))
         if draw.random() < faults.loss / 30:
-            # The outcome is lost.
+            # The message with the outcome is lost.
             timeout_at = pending.requested_at + OPERATION_TIMEOUT_MS
             fleet.call_at(timeout_at, lambda: self._deliver_outcome(pending, UNKNOWN_OUTCOME))
         else:
@@ -111,7 +111,7 @@
         return Outcome(True, version + 1, operation.value)
 
     def _notify(self, host: Host, name: str, version: int, value: bytes) -> None:
-        """Send a host a hint of a register's new value."""
+        """Send a host a notification of a register's new value."""
         incarnation, coordinator = host.incarnation, host.coordinator
         assert coordinator is not None
 
--- a/cottonhold/emulator/rolling_replacement.py
+++ b/cottonhold/emulator/rolling_replacement.py
@@ -1,7 +1,7 @@
-"""A rolling replacement in virtual time: dispatchers whose registers need a majority, and faults.
+"""A model of a rolling replacement in virtual time: dispatchers whose registers need a majority, and faults.
 
-The coordinators are real; sticky keys and open requests are counts, and operators power a machine off once
-they are notified that they may. One seed replays the whole run. Times are ms.
+The coordinators are real. Sticky keys and open requests are only counted. Operators power a machine off after
+they are notified that it is ready. The seed determines the whole run. Times are in ms.
 """
 
 from __future__ import annotations
@@ -42,16 +42,19 @@
 
 TICK_MS = 50.0
 KEY_MOVE_MS = 50.0
-POWER_OFF_MS = 200.0  # from the notice to operators until they power a machine off
-RESTART_INTERVAL_MS = 300.0  # between two hosts after a power cut
+POWER_OFF_MS = 200.0  # time from the notification of operators until they power a machine off
+RESTART_INTERVAL_MS = 300.0  # interval between the restarts of two hosts after a power loss
 
 
 class ReplacementWorld(SimulatedFleet):
     """A fleet whose machines can be replaced, killed, paused and partitioned.
 
-    arrival_delay_ms: from a machine's power-off until its replacement is there, by name; None: never.
-    replacement_cores: cores of a new machine by the old one's name, where they differ. voting_delay_ms:
-    until a machine with an empty folder votes.
+    Attributes:
+        arrival_delay_ms: Time from a machine's power-off until its replacement starts, by the machine's name,
+            in ms; None if the replacement never arrives.
+        replacement_cores: Cores of a new machine by the old one's name, where they differ.
+        voting_delay_ms: Time until a machine with an empty folder votes, in ms.
+        capacity_check: Check of the capacity that remains while machines are out.
     """
 
     def __init__(
@@ -75,7 +78,7 @@
         self.replacement_cores = dict(replacement_cores or {})
         self.invariants = self.make_invariants()
         self.register_operations = RegisterOperations(self, self.invariants)
-        self.removed_hosts: set[str] = set()  # stay off until they are replaced
+        self.removed_hosts: set[str] = set()  # powered off until they are replaced
         self.power_off_ordered: set[str] = set()
         self.answers: list[RequestAnswered] = []
         self.logged_steps: list[tuple[float, str, LogStep]] = []
@@ -85,7 +88,7 @@
         self.call_at(0.0, self._tick)
 
     def make_invariants(self) -> ReplacementInvariants:
-        """The rules that this world is checked against."""
+        """Return the invariants that this model is checked against."""
         return ReplacementInvariants(self)
 
     def request(
@@ -102,7 +105,7 @@
         coordinator.request(self.now, ReplacementRequest(requested_by, machines, max_out, max_zones))
 
     def place(self, host: Host, new: str) -> None:
-        """Put a new machine, with an empty folder, in the place of an old one."""
+        """Start a new machine, with an empty folder, in the place of an old one."""
         cores = self.replacement_cores.get(host.name, host.cores)
         self.removed_hosts.discard(new)
         if new == host.name:
@@ -115,7 +118,7 @@
         self._start_coordinator(new_host)
 
     def kill(self, name: str) -> None:
-        """End a process at once; its folder stays."""
+        """Kill a process; its folder is kept."""
         self.hosts[name].is_up = False
         self.hosts[name].undelivered.clear()
 
@@ -127,7 +130,7 @@
             self._start_coordinator(host)
 
     def pause(self, name: str, duration_ms: float) -> None:
-        """Stop a process for a while; it then takes a step on its old knowledge before it receives."""
+        """Pause a process for some time; it then runs a step before it receives what arrived meanwhile."""
         host, incarnation = self.hosts[name], self.hosts[name].incarnation
         host.paused_until = self.now + duration_ms
 
@@ -143,7 +146,7 @@
         self.call_at(self.now + duration_ms, resume)
 
     def cut_power(self, outage_ms: float) -> None:
-        """Kill all processes at once; they come back one after another."""
+        """Kill all processes at the same time; they restart one after another."""
         for i, name in enumerate(n for n, h in self.hosts.items() if h.is_up):
             self.kill(name)
             started_at = self.now + outage_ms + RESTART_INTERVAL_MS * i
@@ -155,7 +158,7 @@
         self.partitions = dict(zip(self.hosts, groups, strict=False))
 
     def set_zone_trouble(self, zone: str, trouble: str) -> None:
-        """Report a zone's trouble to all hosts; an empty one: it is over."""
+        """Report a problem of a zone to all hosts; an empty text means that it is over."""
         if trouble:
             self.zone_troubles[zone] = trouble, self.now
         else:
@@ -185,7 +188,7 @@
 
     def _update_links(self) -> None:
         if not self.now:
-            return  # at the start nobody has seen another yet
+            return  # at the start no host has seen another yet
         for host, other in itertools.permutations(self.hosts.values(), 2):
             is_connected = self.is_running(other) and self.are_connected(host.name, other.name)
             if is_connected != self._is_linked(host, other):
@@ -196,7 +199,7 @@
         return link is not None and link.is_connected
 
     def _update_load(self, host: Host) -> None:
-        """Draw a host's open requests, and whether one without keys leaves the membership table."""
+        """Draw a host's open requests, and whether a host without keys leaves the membership table."""
         if host.is_drained or self.draw.random() < 0.3:
             host.open_requests = (
                 max(host.open_requests - 1, 0) if host.is_drained else self.draw.randint(0, 4)
@@ -207,7 +210,7 @@
         )
 
     def _visible_machines(self, host: Host) -> list[Machine]:
-        """The machines that a host sees by its membership."""
+        """Return the machines that a host sees by its membership."""
         return [
             Machine(
                 other.name, other.zone, other.cores, False, other.incarnation, True, self.is_voting(other)
@@ -224,7 +227,7 @@
         return age_ms >= JOIN_NOTICE_MS if link.is_connected else age_ms < DEATH_NOTICE_MS
 
     def _feed(self, host: Host) -> None:
-        """Report to a host's coordinator what it can know now."""
+        """Give a host's coordinator the information that is available to it now."""
         coordinator = host.coordinator
         assert coordinator is not None
         coordinator.set_machines(self.now, self._visible_machines(host))
@@ -273,7 +276,7 @@
             target.sticky_keys += count
 
     def _power_off(self, machine: str) -> None:
-        """Operators power a machine off, and put the new one in its place."""
+        """Power a machine off, as operators do, and start the new one in its place later."""
         record = self.record(machine)
         if machine in self.power_off_ordered or record is None or record.step is not ReplacementStep.OUT:
             return
--- a/cottonhold/emulator/rolling_replacement_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases of a rolling replacement, each a whole run of the model; shared by tests and benchmarks.
+"""Fault cases of a rolling replacement, each a whole run of the model; shared by tests and benchmarks.
 
 Times are ms.
 """
@@ -30,7 +30,7 @@
     ReplacementStep.IN_PLACE,
     ReplacementStep.RAMPING,
 )
-WATCHED_MACHINE = "d3"  # faults occur when it comes to a step
+WATCHED_MACHINE = "d3"  # faults occur when its replacement reaches a step
 MAX_RUN_MS = 240_000.0
 MAX_TAKEOVER_MS = 2000.0
 LOSSY_NETWORK = NetworkFaults(loss=0.3, duplication=0.3, max_delay_ms=150.0)
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class CaseResult:
-    """How a run ended: broken rules, takeover times, and its length in virtual time."""
+    """The result of a run: violated invariants, takeover times, and its duration in virtual time."""
 
     breaches: list[str]
     takeover_times_ms: list[float]
@@ -49,14 +49,14 @@
 
 
 def machine_requests(count: int = 8) -> list[MachineRequest]:
-    """Requests for all dispatchers, of which every other one gets another name."""
+    """Return requests to replace all dispatchers; every other one gets a new name."""
     return [MachineRequest(f"d{i}", f"e{i}" if i % 2 else "") for i in range(count)]
 
 
 def start_replacement(
     seed: int, count: int = 8, max_out: int = 2, network_faults: NetworkFaults | None = None
 ) -> ReplacementWorld:
-    """A fleet in which the replacement of all machines has been requested."""
+    """Return a fleet in which the replacement of all machines was requested."""
     world = ReplacementWorld(seed, count, network_faults)
     world.run(2000.0 + seed % 100)
     world.request("d0", "ann", *machine_requests(count), max_out=max_out)
@@ -64,10 +64,10 @@
 
 
 def finish(world: ReplacementWorld, count: int = 8, *, checks_takeovers: bool = True) -> CaseResult:
-    """Run to the end of the replacement, and check the state then."""
+    """Run to the end of the replacement, and check the final state."""
     world.run_until(lambda: bool(world.answers), 30_000.0)
     if any(answer.rejection for answer in world.answers):
-        # None could be answered in time: the client retries.
+        # The request could not be answered in time, so the client retries.
         max_out = world.answers[0].request.max_concurrent
         world.answers.clear()
         retry_host = "d1" if world.hosts["d1"].is_up else "d2"
@@ -82,7 +82,7 @@
 
 
 def check_replacement_serves(world: ReplacementWorld, name: str) -> None:
-    """The host in the place of a replaced machine is up and not drained."""
+    """Check that the host in the place of a replaced machine is up and not drained."""
     record = world.record(name)
     if record is None or record.step is not ReplacementStep.DONE:
         return
@@ -92,7 +92,7 @@
 
 
 def result(world: ReplacementWorld, checks_takeovers: bool = True) -> CaseResult:
-    """What was broken so far; slow takeovers are not checked where messages are lost."""
+    """Return the result so far; slow takeovers are not checked if messages are lost."""
     takeovers = world.invariants.takeover_times_ms
     slow = [time_ms for time_ms in takeovers if time_ms > MAX_TAKEOVER_MS]
     if slow and checks_takeovers:
@@ -103,7 +103,7 @@
 def once_at_step(
     world: ReplacementWorld, step: ReplacementStep, action: Callable[[], None], max_delay_ms: float = 300.0
 ) -> None:
-    """Run an action once, a drawn time after the watched machine has come to a step."""
+    """Run an action once, a random time after the watched machine's replacement reaches a step."""
     has_run = False
 
     def on_record_changed(machine: str, record: MachineRecord) -> None:
@@ -116,19 +116,19 @@
 
 
 def restart(world: ReplacementWorld, name: str, downtime_ms: float) -> None:
-    """Kill a process, and start it again later unless it is up by then."""
+    """Kill a process, and restart it later unless it is up by then."""
     if name and world.hosts[name].is_up:
         world.kill(name)
         world.call_at(world.now + downtime_ms, lambda: None if world.hosts[name].is_up else world.start(name))
 
 
 def no_fault(seed: int) -> CaseResult:
-    """Nothing goes wrong."""
+    """Run a replacement without faults."""
     return finish(start_replacement(seed))
 
 
 def driver_dies(seed: int, step: ReplacementStep) -> CaseResult:
-    """The driver of a machine dies soon after a step began."""
+    """Kill the driver of a machine soon after a step began."""
     world = start_replacement(seed)
 
     def kill_driver() -> None:
@@ -156,24 +156,24 @@
 
 
 def target_dies(seed: int) -> CaseResult:
-    """The target of moved keys dies after it has accepted them."""
+    """Kill the target of moved keys after it has accepted them."""
     return _target_dies(seed, source_dies=False)
 
 
 def source_and_target_die(seed: int) -> CaseResult:
-    """The moving host and the target of moved keys die."""
+    """Kill the moving host and the target of moved keys."""
     return _target_dies(seed, source_dies=True)
 
 
 def power_cut(seed: int, step: ReplacementStep) -> CaseResult:
-    """Power goes at a step: all processes are killed, registers are durable."""
+    """Cut the power at a step: all processes are killed, registers are durable."""
     world = start_replacement(seed)
     once_at_step(world, step, lambda: world.cut_power(2000.0))
     return finish(world)
 
 
 def driver_pauses(seed: int, step: ReplacementStep) -> CaseResult:
-    """The driver stops for 5 s and goes on with what it knew."""
+    """Pause the driver for 5 s; it continues with its old state."""
     world = start_replacement(seed)
 
     def pause_driver() -> None:
@@ -185,7 +185,7 @@
 
 
 def network_partition(seed: int, *sizes: int) -> CaseResult:
-    """The fleet is partitioned for 8 s at a drawn moment."""
+    """Partition the fleet for 8 s at a random time."""
     count = sum(sizes)
     world = start_replacement(seed, count)
     begins_at = 2000.0 + 15_000.0 * random.Random(seed).random()
@@ -195,12 +195,12 @@
 
 
 def lossy_network(seed: int) -> CaseResult:
-    """30% of messages are lost, operations are carried out twice and out of order."""
+    """Lose 30% of messages, and execute operations twice and out of order."""
     return finish(start_replacement(seed, network_faults=LOSSY_NETWORK), checks_takeovers=False)
 
 
 def contradicting_requests(seed: int) -> CaseResult:
-    """Two operators request contradicting replacements in one moment at two hosts."""
+    """Request contradicting replacements at the same time at two hosts."""
     world = ReplacementWorld(seed)
     world.run(2000.0 + seed % 100)
     world.request("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"))
@@ -224,7 +224,7 @@
 
 
 def capacity_limit(max_cores: float) -> CapacityCheck:
-    """A check that permits at most so many cores to be out."""
+    """Return a check that permits at most this many cores to be out."""
 
     def check(cores_out: Mapping[str, float]) -> list[str]:
         cores = sum(cores_out.values())
@@ -234,7 +234,7 @@
 
 
 def hardware_never_arrives(seed: int) -> CaseResult:
-    """New hardware never arrives: the others go on only as far as capacity permits."""
+    """Let new hardware never arrive; other machines are replaced only as far as capacity permits."""
     world = ReplacementWorld(
         seed,
         arrival_delay_ms=lambda name: None if name == WATCHED_MACHINE else 1000.0,
@@ -260,7 +260,7 @@
 
 
 def smaller_hardware(seed: int) -> CaseResult:
-    """A machine arrives with 2 cores of 8: it is reported, and nothing beyond the capacity starts."""
+    """Let a machine arrive with 2 cores instead of 8; it is reported, and capacity limits further starts."""
     world = ReplacementWorld(
         seed, replacement_cores={WATCHED_MACHINE: 2.0}, capacity_check=capacity_limit(12.0)
     )
@@ -282,11 +282,11 @@
 
 
 def aborted(seed: int, step: ReplacementStep) -> CaseResult:
-    """One machine's replacement is aborted by an operator at a step; the others go on."""
+    """Abort one machine's replacement at a step; the others continue."""
     world = start_replacement(seed)
 
     def abort() -> None:
-        # At a host that stays: one that is powered off a moment later would lose the request.
+        # The request goes to a host that stays up; one that is powered off soon would lose it.
         active = world.plan().active_machine_ids
         leaving = {WATCHED_MACHINE, *(n for n in world.hosts if machine_id(n) in active)}
         for host in world.hosts.values():
@@ -310,7 +310,7 @@
 
 
 def zone_evacuated(seed: int, step: ReplacementStep) -> CaseResult:
-    """A zone is evacuated during the replacement, and returns 6 s later."""
+    """Evacuate a zone during the replacement, and return it 6 s later."""
     world = start_replacement(seed)
     once_at_step(world, step, lambda: world.set_zone_trouble("b", "left"))
 
@@ -322,7 +322,7 @@
 
 
 def submitting_host_dies(seed: int) -> CaseResult:
-    """The host that writes a request dies meanwhile: it is there as a whole or not at all; then a retry."""
+    """Kill the host that writes a request, which must be complete or absent, and retry it."""
     world = start_replacement(seed)
     dies_at = world.now + 100.0 * random.Random(seed).random()
     world.call_at(dies_at, lambda: restart(world, "d0", 4000.0))
@@ -335,7 +335,7 @@
 
 
 def four_of_five_at_once(seed: int) -> CaseResult:
-    """Four of five may be out at once, if the voters' majority did not forbid it."""
+    """Permit four of five machines to be out, which the voters' majority has to prevent."""
     world = ReplacementWorld(seed, 5)
     world.run(2000.0)
     world.request("d0", "ann", *machine_requests(5), max_out=4, max_zones=3)
@@ -343,7 +343,7 @@
 
 
 def empty_folders(seed: int) -> CaseResult:
-    """New machines arrive with an empty folder and may not vote for 6 s."""
+    """Let new machines arrive with an empty folder and without a vote for 6 s."""
     world = ReplacementWorld(seed, voting_delay_ms=6000.0)
     world.run(2000.0)
     world.request("d0", "ann", *machine_requests(), max_out=2)
@@ -351,7 +351,7 @@
 
 
 def random_faults(seed: int) -> CaseResult:
-    """Kills, pauses and a partition at drawn moments while messages are lost, then calm."""
+    """Cause kills, pauses and a partition at random times while messages are lost, then no more faults."""
     world, draw = start_replacement(seed, network_faults=LOSSY_NETWORK), random.Random(seed)
     for _ in range(draw.randint(2, 5)):
         when = 2500.0 + 20_000.0 * draw.random()
--- a/cottonhold/emulator/rolling_replacement_defects.py
+++ b/cottonhold/emulator/rolling_replacement_defects.py
@@ -1,4 +1,4 @@
-"""Defects planted into the rolling replacement on purpose: the model's checks have to notice each."""
+"""Defects that are planted into the rolling replacement; the model's checks have to detect each."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Patch:
-    """A value to put into an attribute, or under a key of a table."""
+    """A value to set as an attribute, or under a key of a table."""
 
     target: Any
     key: Any
     value: Any
 
     def apply(self) -> Patch:
-        """Put the value there; return the patch that restores the former one."""
+        """Set the value; return the patch that restores the former one."""
         if isinstance(self.target, dict):
             original = self.target[self.key]
             self.target[self.key] = self.value
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Defect:
-    """A defect: the case that shows it, a part of the breach that is then reported, and its patches."""
+    """A defect: the case that shows it, a part of the violation that is then reported, and its patches."""
 
     case: str
     breach: str
--- a/cottonhold/emulator/serving.py
+++ b/cottonhold/emulator/serving.py
@@ -1,4 +1,4 @@
-"""What stand-ins share: connections as tasks, engines' calls, and a program that runs until a signal."""
+"""Shared parts of the emulated servers: connections as tasks, engines' calls, and running until a signal."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     async def start(
         self, host: str = "127.0.0.1", port: int = 0, context: ssl.SSLContext | None = None
     ) -> int:
-        """Listen; return the port. Raises OSError."""
+        """Start to listen; return the port. Raises OSError."""
         self.server = await asyncio.start_server(self._serve, host, port, ssl=context, backlog=256)
         return int(self.server.sockets[0].getsockname()[1])
 
     async def stop(self) -> None:
-        """Close, and break every connection."""
+        """Close the listener, and abort every connection."""
         if self.server is not None:
             self.server.close()
         for task in list(self.tasks):
@@ -42,7 +42,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something until it ends or the server stops."""
+        """Run a coroutine as a task until it ends or the server stops."""
         self._track(asyncio.get_running_loop().create_task(work))
 
     def _track(self, task: asyncio.Task[Any]) -> None:
@@ -61,12 +61,12 @@
             writer.close()
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection, to its end."""
+        """Serve one connection until it ends."""
         raise NotImplementedError
 
 
 async def engine_calls(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
-    """The calls of one connection to an engine, in order. Raises OSError and RespError."""
+    """Yield the calls of one connection to an engine, in order. Raises OSError and RespError."""
     calls = RespReader()
     while data := await reader.read(READ_BYTES):
         for call in calls.feed(data):
--- a/cottonhold/emulator/virtual_time.py
+++ b/cottonhold/emulator/virtual_time.py
@@ -21,7 +21,7 @@
         self._serial = itertools.count()
 
     def call_at(self, when: float, action: Action) -> None:
-        """Run an action at a time."""
+        """Run an action at a time in ms."""
         heapq.heappush(self._scheduled, (when, next(self._serial), action))
 
     def run(self, until: float) -> None:
