--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -56,13 +56,13 @@
 
 
 def datagram(kind: MessageKind, sequence: int, updates: bytes = b"", keys: KeyRing | None = None) -> bytes:
-    """The first datagram of a sender's life."""
+    """Return the first datagram of a sender's incarnation."""
     message = codec.Message(kind, MEMBER, sequence, 0x42)
     return Codec(MEMBER, LIFE, keys).encode(message, updates)
 
 
 def updates() -> bytes:
-    """One update of each form."""
+    """Return one membership update of each form."""
     return b"".join(
         (
             encode_update(Update(MemberStatus.ALIVE, 1, 2, 0, Address("10.1.2.3", 4500), "n1")),
@@ -75,7 +75,7 @@
 
 
 def zone_words() -> bytes:
-    """Words on zones of two instances."""
+    """Return the zone reports of two instances."""
     failing = zone_messages.ZoneReport(zone_messages.Vote.EVACUATE, 1, 2, 300, 0.25, True, True)
     healthy = zone_messages.ZoneReport(zone_messages.Vote.SERVE, 9, 0, 0, 1.0)
     first = zone_messages.MemberReport(MEMBER, LIFE, VERSION, 70_000, 0x33, {9: failing, 4: healthy})
@@ -83,7 +83,7 @@
 
 
 def orders() -> bytes:
-    """Operators' orders on zones."""
+    """Return operators' overrides of zones."""
     return operator_overrides.encode_overrides(
         1000.0,
         [
@@ -100,7 +100,7 @@
 
 
 def price_loads() -> bytes:
-    """Two instances' loads."""
+    """Return the demand reports of two instances."""
     busy = ReportedDemand({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
     return demand_messages.encode_demand_reports(
         [
@@ -111,7 +111,7 @@
 
 
 def here() -> bytes:
-    """One instance's word of recovery on itself."""
+    """Return an instance's presence message of the recovery survey."""
     pairs = (
         recovery_messages.PeerState(1, 5, 0x77, 123_456.7, 999.0, True, False),
         recovery_messages.PeerState(2, 0),
@@ -124,7 +124,7 @@
 
 
 def warmups() -> bytes:
-    """What two instances saw of cold engines."""
+    """Return the warm-up reports of two instances on cold engines."""
     rows = {
         warmup_messages.engine_number("e1"): warmup_messages.EngineObservation(1.5, 0.25, 0.5, 1250.0),
         warmup_messages.engine_number("e2"): warmup_messages.EngineObservation(0.0, 0.0, 1.0, 0.0),
@@ -134,7 +134,7 @@
 
 
 def site() -> site_messages.SiteReport:
-    """A site with everything in it."""
+    """Return a site report with all fields."""
     zones = {
         9: site_messages.ZoneObservation(
             0.4, 0.75, site_messages.filter_bits(5) | site_messages.filter_bits(77)
@@ -146,17 +146,17 @@
 
 
 def sites() -> bytes:
-    """Two sites, one of which knows nothing."""
+    """Return two site reports, one of them empty."""
     return site_messages.encode_site_reports([site(), site_messages.SiteReport(2, 3, 4, 5)])
 
 
 def register_message(kind: int, epochs: tuple[int, ...] = ()) -> bytes:
-    """A message about a register."""
+    """Return a message about a register."""
     return messages.encode_message(messages.RegisterMessage(kind, "swap/n1", BALLOT, STATE, epochs))
 
 
 def affinity_table() -> bytes:
-    """The table of members after some changes."""
+    """Return the membership table after some changes."""
     table = membership_table.MemberList()
     for member, is_admitted in ((MEMBER, True), (2, True), (3, True), (2, False)):
         table = table.with_change(member, is_admitted)
@@ -164,7 +164,7 @@
 
 
 def drain_word() -> bytes:
-    """One dispatcher's word on drained engines."""
+    """Return a dispatcher's drain report."""
     rows = {
         7: engine_drain_messages.DrainedEngineRow(3, 70_000, True),
         8: engine_drain_messages.DrainedEngineRow(4, 0),
@@ -173,7 +173,7 @@
 
 
 def handed_request(named: bool) -> bytes:
-    """A request as it is handed on."""
+    """Return a forwarded request, with or without tenant and idempotency key."""
     names = ("acme", "key-1") if named else ("", "")
     return request_codec.encode_request(
         request_codec.ForwardedRequest("r1", "load", "k1", 250.5, 64.0, -1, True, b"INSERT 1", 77, *names)
@@ -181,7 +181,7 @@
 
 
 def plan_register() -> bytes:
-    """The register of a whole replacement."""
+    """Return the register of a replacement plan."""
     state = plan.PlanState.SUBMITTING
     return plan_codec.encode_plan(
         plan.ReplacementPlan(state, 5, 4, 3, MEMBER, 2, 1, "n1", "ana", (MEMBER, 9))
@@ -189,7 +189,7 @@
 
 
 def machine_register() -> bytes:
-    """The register of one machine."""
+    """Return the register of one machine."""
     return plan_codec.encode_record(
         plan.MachineRecord(
             plan.ReplacementStep.DRAINING,
@@ -212,7 +212,7 @@
 
 
 def peer_work() -> bytes:
-    """What a gateway has on two engines, as its peers are told."""
+    """Return a gateway's message to its peers about its work on two engines."""
     busy = EngineView("e1", Engine("e1"), 8.0, 16_000.0, id_hash=0x01020304)
     busy.threads_in_flight, busy.memory_in_flight_mb, busy.queued_thread_ms = 300, 1234.5, 5678.9
     busy.remaining_by_density[0.5] = RemainingWork(1000.0, 2.0)
@@ -221,37 +221,37 @@
 
 
 def peer_load() -> bytes:
-    """A load that a gateway sent, as its peers are told."""
+    """Return a gateway's message to its peers about a load that it sent."""
     engine = EngineView("e1", Engine("e1"), 8.0, 16_000.0, id_hash=0x01020304)
     return peer_messages.encode_load_sent(engine, 0x12345, 2750.25)
 
 
 def load_record(state: records.LoadState) -> bytes:
-    """A load as the ledger keeps it."""
+    """Return the ledger's record of a load."""
     return records.LoadRecord(IDENTITY, "r1", "k1", b"digest", "e1", 9, 1234.5, state, 2345.75).encode()
 
 
 def kept(actions: list[object]) -> bytes:
-    """Names and values of what is to be made durable."""
+    """Return the names and values of the states to be persisted."""
     return b"".join(a.name.encode() + b"=" + a.data + b";" for a in actions if isinstance(a, PersistState))
 
 
 def voter_records() -> bytes:
-    """What a voter keeps of itself when its folder is empty, and of a promise."""
+    """Return the records of a voter that starts with an empty folder, and of a promise."""
     voter = acceptor.Acceptor(1, [1, 2, 3], 0x5566, {}, 10, 100.0)
     voter.step(0.0)
     return kept(list(voter.drain_actions())) + acceptor.encode_register(acceptor.VoterRegister(BALLOT, STATE))
 
 
 def standing_record() -> bytes:
-    """The affinity table as a member keeps it."""
+    """Return a member's record of the membership table."""
     settings = OwnershipSettings().lease
     lease = MembershipLease(2, [1, 2, 3], [1, 2, 3], 0.0, 1, {}, True, settings, 4, [9])
     return lease.persist(5).data
 
 
 def pin_records() -> bytes:
-    """A key that moves from one member to another, as both keep it at each step."""
+    """Return both members' records at each step of a key's move from one to the other."""
     found = dict[bytes, None]()
 
     def make(member: int, life: int, disk: dict[str, bytes]) -> KeyOwnership:
@@ -270,7 +270,7 @@
 
 
 def engine_records() -> bytes:
-    """What is kept of an engine of the list."""
+    """Return the records of an engine in the engine list."""
     names = ConfiguredNames(("a", "b"), ("std", "big"))
     info = Engine("e1", zone=1, machine_type=1, cell=3, size=2.5)
     change = EngineListChange((info,), {"e1": Address("10.1.2.3", 4500)}, True)
@@ -279,13 +279,13 @@
 
 
 def drain_records() -> bytes:
-    """What is kept of a drained engine."""
+    """Return the records of a drained engine."""
     taken = engine_drain.DrainRecords({}).drain("e1")
     return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
 
 
 def kinds() -> bytes:
-    """The numbers of all kinds of records, and of a load's states."""
+    """Return the numbers of all kinds of records and of all states of a load."""
     return bytes(int(kind) for kind in records.RecordKind) + bytes(int(state) for state in records.LoadState)
 
 
@@ -413,7 +413,7 @@
 
 
 def ledger_folder(folder: Path) -> dict[str, object]:
-    """A ledger's files, the database's tables and rows, and the sizes kept ready."""
+    """Return a ledger's files, its database's tables and rows, and the sizes reserved in advance."""
     ledger = Ledger.open(folder, "n1")
     durable = threading.Event()
     ledger.mark_complete(lambda well: durable.set())
@@ -422,7 +422,9 @@
     ledger.put([load, records.IncarnationRecord(1, 2, True).to_record()])
     ledger.close(clean=True)
     names = sorted(path.name for path in folder.iterdir())
-    log_bytes = (folder / "n1.1.db-wal").stat().st_size  # read now: sqlite3 takes the log away
+    log_bytes = (
+        (folder / "n1.1.db-wal").stat().st_size
+    )  # read before sqlite3 opens the database, which removes the log
     with contextlib.closing(sqlite3.connect(folder / "n1.1.db")) as database:
         tables = [row[0] for row in database.execute("SELECT sql FROM sqlite_master WHERE sql NOT NULL")]
         rows = database.execute("SELECT * FROM record ORDER BY kind, key").fetchall()
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -1,4 +1,4 @@
-"""Names that operators and other programs use: counters, metrics, commands and settings."""
+"""Compares the names that operators and other programs use with the recorded ones, such as counters."""
 
 from __future__ import annotations
 
@@ -39,18 +39,18 @@
 from tests.test_simulator_adapter import PARAMS
 
 PACKAGE = Path(cottonhold.__file__).parent
-NOT_SERVED = ("emulator", "cli")  # parts that count nothing of a running dispatcher
+NOT_SERVED = ("emulator", "cli")  # packages that a running dispatcher does not use
 
 
 def sources() -> Iterator[ast.Module]:
-    """All modules of a running dispatcher."""
+    """Yield the syntax trees of all modules of a running dispatcher."""
     for path in sorted(PACKAGE.rglob("*.py")):
         if path.relative_to(PACKAGE).parts[0] not in NOT_SERVED:
             yield ast.parse(path.read_text(encoding="utf-8"))
 
 
 def texts(node: ast.expr) -> list[str]:
-    """The texts that an expression may be; what is put into one in between is `{}`."""
+    """Return the possible values of a string expression; `{}` stands for each formatted value."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         return [node.value]
     if isinstance(node, ast.IfExp):
@@ -62,7 +62,7 @@
 
 
 def counted(tree: ast.Module) -> set[str]:
-    """Names that are counted: `counters.add(NAME)`."""
+    """Return the names of the counters that a module increments by `counters.add(NAME)`."""
     found = list[str]()
     for node in ast.walk(tree):
         if not (
@@ -75,13 +75,15 @@
 
 
 def written(tree: ast.Module) -> set[str]:
-    """All texts of a module."""
+    """Return all strings of a module."""
     return {text for node in ast.walk(tree) if isinstance(node, ast.expr) for text in texts(node)}
 
 
 def test_counters_are_those_recorded() -> None:
-    """Each name that is counted is recorded, and each recorded one is still written somewhere, as are the
-    words that are put into names and the names of the counts that the local socket shows."""
+    """Each counter in the code is recorded, and each recorded counter still exists in the code.
+
+    The same holds for the words that counters' names are made of and for the counts of the local socket.
+    """
     every, found = set[str](), set[str]()
     for tree in sources():
         found |= counted(tree)
@@ -94,7 +96,7 @@
 
 
 def word_lists() -> dict[str, list[str]]:
-    """Words that counters' names, metrics' labels, the socket and the log are made of."""
+    """Return the words used in counters' names, metrics' labels, the local socket and the log."""
     enums: dict[str, list[str]] = {
         "attempts, probes": [o.value for o in Outcome],
         "loads": [p.value for p in LoadOutcome],
@@ -120,7 +122,7 @@
 
 
 def metrics_text() -> str:
-    """The exposition with one of each series."""
+    """Return the metrics' exposition with one sample of each series."""
     readings = Readings(
         {"attempts_ok": 3, "members_alive": 2},
         4,
@@ -144,7 +146,7 @@
 
 
 def commands(command: Any, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
-    """A command and all below it."""
+    """Yield the paths of a command and all its subcommands."""
     yield path
     if isinstance(command, TyperGroup):
         for name, below in command.commands.items():
@@ -152,7 +154,7 @@
 
 
 def help_of(path: tuple[str, ...]) -> str:
-    """What `--help` of a command prints on a plain terminal of 100 columns."""
+    """Return what `--help` of a command prints on a plain terminal of 100 columns."""
     plain = {"COLUMNS": "100", "TERM": "dumb", "NO_COLOR": "1", "TERMINAL_WIDTH": "100"}
     shown = CliRunner().invoke(app, [*path, "--help"], env=plain, prog_name="cottonhold")
     assert shown.exit_code == 0
@@ -172,7 +174,7 @@
 
 
 def platform_help() -> list[str]:
-    """Usage and arguments of the platform's own command line."""
+    """Return the usage and arguments of the platform's own command line."""
     program = [sys.executable, "-m", "cottonhold", "--help"]
     plain = {**os.environ, "COLUMNS": "100", "NO_COLOR": "1"}
     shown = subprocess.run(program, capture_output=True, text=True, check=True, env=plain).stdout
@@ -184,7 +186,7 @@
 
 
 def resolved(part: Any, parts: dict[str, Any], above: tuple[str, ...] = ()) -> Any:
-    """A JSON schema without the names and descriptions of types: keys, kinds, bounds and defaults."""
+    """Return a JSON schema with references resolved, and without titles and descriptions of types."""
     if isinstance(part, list):
         return [resolved(inner, parts, above) for inner in part]
     if not isinstance(part, dict):
@@ -192,17 +194,17 @@
     if "$ref" in part:
         name = str(part["$ref"]).rpartition("/")[2]
         return "as above" if name in above else resolved(parts[name], parts, (*above, name))
-    told = {k: v for k, v in part.items() if k not in ("title", "description", "properties", "discriminator")}
-    found = {k: resolved(v, parts, above) for k, v in told.items()}
+    kept = {k: v for k, v in part.items() if k not in ("title", "description", "properties", "discriminator")}
+    result = {k: resolved(v, parts, above) for k, v in kept.items()}
     if "properties" in part:
-        found["properties"] = {k: resolved(v, parts, above) for k, v in part["properties"].items()}
-    return found
+        result["properties"] = {k: resolved(v, parts, above) for k, v in part["properties"].items()}
+    return result
 
 
 def schema_of(kind: type) -> Any:
-    """A type's schema as its file's author sees it."""
-    whole = json.loads(msgspec.json.encode(msgspec.json.schema(kind)))
-    return resolved({"$ref": whole["$ref"]}, whole["$defs"])
+    """Return the resolved JSON schema of a type."""
+    document = json.loads(msgspec.json.encode(msgspec.json.schema(kind)))
+    return resolved({"$ref": document["$ref"]}, document["$defs"])
 
 
 def test_keys_of_the_configuration() -> None:
@@ -214,7 +216,7 @@
 
 
 class Watched(dict[str, Any]):
-    """A JSON object that notes which of its keys are asked for."""
+    """A JSON object that records which of its keys are read."""
 
     def __init__(self, value: dict[str, Any], path: str, seen: set[str]) -> None:
         super().__init__({k: watched(v, f"{path}.{k}", seen) for k, v in value.items()})
@@ -230,7 +232,7 @@
 
 
 def watched(value: Any, path: str, seen: set[str]) -> Any:
-    """A value all of whose objects note what is asked of them."""
+    """Return a copy of a value in which all objects record which of their keys are read."""
     if isinstance(value, dict):
         return Watched(value, path, seen)
     if isinstance(value, list):
@@ -239,7 +241,7 @@
 
 
 def relay_keys() -> list[str]:
-    """The keys that are read of the platform's configuration, and of its engine list."""
+    """Return the keys that are read from the platform's configuration and its engine list."""
     entry = {"instanceId": "e1", "lifecycle": "Ready", "hostPort": "10.0.0.1:1"}
     event = {"offset": 1, "topology": {"reset": True, "instances": [entry]}}
     tenants = [{"name": "t", "quota_per_s": 1.0}]
@@ -260,7 +262,7 @@
 
 
 def test_environment_of_the_platforms_program() -> None:
-    """A name and an address may come from the environment instead."""
+    """Environment variables may set the name and the addresses."""
     source = {"listen": None, "bus": "127.0.0.1:2", "known": {"offset": 0, "batch": []}, "settings": PARAMS}
     environment = {"RELAY_LISTEN": "127.0.0.1:9", "RELAY_NAME": "n9", "RELAY_OPS": "127.0.0.1:8"}
     read = relay.decode(source, environment, Counters())
--- a/tests/conformance/test_golden_protocols.py
+++ b/tests/conformance/test_golden_protocols.py
@@ -1,4 +1,4 @@
-"""What is written to engines, clients, operators, Consul and the simulator in fixed scenes, byte for byte."""
+"""Compares the bytes sent to engines, clients, operators, Consul and the simulator with recorded ones."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class RecordingReader(RespReader):
-    """Keeps the bytes that it is fed."""
+    """A reader that records the bytes that it receives."""
 
     def __init__(self, kept: bytearray) -> None:
         super().__init__()
@@ -68,27 +68,27 @@
 
 
 class RecordedWorld(World):
-    """Keeps the bytes that each engine is sent."""
+    """A World that records the bytes sent to its engine."""
 
     def __init__(self) -> None:
         self.sent = bytearray()
         super().__init__(engines="a")
 
     def connect(self, address: Address, connection: Connection) -> FakeStream:
-        line = super().connect(address, connection)
-        line.reader = RecordingReader(self.sent)
-        return line
+        stream = super().connect(address, connection)
+        stream.reader = RecordingReader(self.sent)
+        return stream
 
 
 def engine_frames() -> list[str]:
-    """GET, RANK, DROP, PAGE, CLOSE and LOAD as engines are sent them."""
+    """Return the messages to an engine: GET, RANK, DROP, PAGE, CLOSE and LOAD."""
     world = RecordedWorld()
     world.run(SCENE)
     return bytes(world.sent).decode().split("*")[1:]
 
 
 def mysql_session() -> list[str]:
-    """Greeting, OK, error and a result set as a client is sent them."""
+    """Return the messages to a client: greeting, OK, error and a result set."""
     world = World(engines="a")
     session = world.sessions.open()
     written = [session.take_output()]
@@ -115,7 +115,7 @@
 
 
 def http_answers() -> list[str]:
-    """Answers to operators' calls."""
+    """Return the responses to operators' calls."""
     clock, lifecycle = FakeClock(), Lifecycle()
     calls = AdminApi(lifecycle, clock, Counters(), lambda *_, **__: None, 4)
     written = []
@@ -139,7 +139,7 @@
 
 
 def bus_requests() -> list[str]:
-    """The long poll of the event bus, short and long."""
+    """Return the requests of the event bus's first and later long polls."""
     bus = EventStream("bus.local", 7, ConfiguredNames((), ()), Counters(), lambda report: None)
     requests = [bus.request().decode()]
     body = json.dumps({"offset": 7, "batch": []})
@@ -148,7 +148,7 @@
 
 
 def consul_requests() -> list[str]:
-    """A watch's calls, and those of an entry from its registration to its end."""
+    """Return the calls of a watch, and those of a registration from its start to its end."""
     place = Address("127.0.0.1", 8500)
     settings = WatchSettings(
         "dc1", (place,), "engine", datacenter="dc-1", filter='"a" in Tags', tag="blue", token="t"
@@ -173,7 +173,7 @@
 
 
 def simulator_lines() -> list[str]:
-    """The adapter's replies to a fixed script: two gateways, classes of each effect, endings of each kind."""
+    """Return the adapter's replies to a fixed script: two gateways, all idempotencies, all outcomes."""
     effects = {"lookup": "retryable", "report": "dedup", "load": "fragile"}
     classes = [
         {"name": name, "aim": 400.0, "hard_limit": 2000.0, "effect": effect, "worth": 2.0, "late_worth": 0.5}
@@ -209,12 +209,12 @@
         adapter.on_message(line)
     _play(adapter, out)
     replies = [json.loads(line) for line in out.getvalue().splitlines()]
-    # The words of a log line are for operators, and no part of the wire.
+    # The text of a log line is for operators and not part of the protocol.
     return [json.dumps({**r, "reason_text": ""} if r["event_type"] == "LOG" else r) for r in replies]
 
 
 def _play(adapter: simulator_adapter.Adapter, out: io.StringIO) -> None:
-    """Forty turns: requests, and an ending for each attempt two turns after it went out."""
+    """Play forty rounds of requests; each attempt ends two rounds after it was sent."""
     endings = [200, 502, 200, 429, 408, 200, 521, 520, 444, 200, 409]
     open_: list[tuple[int, str, str]] = []
     attempts: dict[str, int] = {}
@@ -257,7 +257,7 @@
 
 
 def simulator_actions() -> list[str]:
-    """Each action in the simulator's words."""
+    """Return each action in the simulator's format."""
     actions: list[Action] = [
         Send("r1", "e1", 250.5),
         UpdateAttempt("r1", 64, 2),
--- a/tests/conformance/test_golden_socket.py
+++ b/tests/conformance/test_golden_socket.py
@@ -1,4 +1,4 @@
-"""The keys of the local socket's answers, and the records of a state folder, from two real instances."""
+"""Compares the keys of the local socket's answers, and the records of a state folder, with recorded ones."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     "runs",
     "cold_engines",
     "outlook",
-)  # their keys are what happened, and not part of the form
+)  # their keys depend on the run and are not part of the format
 
 
 class Pair:
-    """Two instances with all that is optional switched on, and engines that nobody answers for."""
+    """Two instances with all optional features enabled, and engines that do not respond."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -72,11 +72,11 @@
         }
 
     def ask(self, call: str, **words: Any) -> dict[str, Any]:
-        """What the first instance answers."""
+        """Return the first instance's answer to a call of its local socket."""
         return status.call_instance(self.folder / "n0.sock", {"call": call, **words})
 
     def until(self, holds: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        """Waits for a state of the first instance's view."""
+        """Wait for a state of the first instance's view."""
         deadline = time.monotonic() + WAIT_S
         while True:
             try:
@@ -90,7 +90,7 @@
             time.sleep(0.1)
 
     def stop(self) -> None:
-        """Ends both processes."""
+        """Terminate both processes."""
         for process in self.processes:
             process.send_signal(signal.SIGTERM)
         for process in self.processes:
@@ -109,7 +109,7 @@
 
 
 def paths(value: Any, path: str = "") -> set[str]:
-    """All keys of an answer, by their places."""
+    """Return the paths of all keys of an answer."""
     if isinstance(value, dict) and path.rpartition(".")[2] in ANY_NAME:
         return {f"{path}.*"}
     if isinstance(value, dict):
@@ -120,7 +120,7 @@
 
 
 def in_service(view: dict[str, Any]) -> bool:
-    """Both know one another, all registers are read, and machines are on their way."""
+    """Return whether the other instance is alive, and duties, registers, survey and ownership are ready."""
     return (
         view["members"][0]["status"] == "alive"
         and bool(view["duties"])
@@ -131,13 +131,13 @@
 
 
 def replacing(view: dict[str, Any]) -> bool:
-    """Both kinds of machines are on their way out."""
+    """Return whether machines of both kinds are being replaced."""
     steps = {row["machine"]: row["step"] for row in view["swap"]["machines"]}
     return {"n1", "a0"} <= set(steps) and "untold" in str(view["swap"])
 
 
 def record(pair: Pair) -> dict[str, Any]:
-    """Keys of each answer, and kinds and keys of a folder's records."""
+    """Return the keys of each answer, and the kinds and keys of a folder's records."""
     pair.until(in_service)
     answers = {
         "order": pair.ask("order", mode="leave", zone="a", for_ms=60_000, who="ana", why="fire"),
@@ -155,7 +155,7 @@
 
 
 def folder_records(folder: Path) -> list[str]:
-    """The records of an instance's folder by kind and key, with their values' sizes where these are fixed."""
+    """Return the records of an instance's folder by kind and key, with the sizes of fixed-size values."""
     varying = (RecordKind.PROMISE, RecordKind.AFFINITY)
     (name,) = {path.name.partition(".")[0] for path in folder.iterdir()}
     ledger = Ledger.open(folder, name)
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -1,4 +1,4 @@
-"""Drawn bytes for each reader: only its own error may come out, and others keep their answers."""
+"""Random bytes for each reader: it may raise only its own error, and other connections are not affected."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from tests.support.drawn_cases import CASES, untroubled
 from tests.support.scenario import LOGIN, FakeClock, World, packet
 
-MOST_SECONDS = 2.0  # of processor time for one statement; a quadratic reader takes over 10
+MAX_CPU_SECONDS = 2.0  # processor time for one statement; a quadratic reader takes over 10 s
 
 FIELDS = b"/* service=lookup,ref=%s,allow=5000 */ "
 STATEMENTS = st.one_of(
@@ -80,11 +80,11 @@
 
 @pytest.mark.parametrize("text", SLOW.values(), ids=SLOW)
 def test_no_statement_holds_up_the_others(text: bytes) -> None:
-    """One long statement must not hold the event loop, and with it all clients."""
+    """A long statement must not block the event loop, which serves all clients."""
     world = World().run("c1 query lookup r1\nany expect GET r1 *")
     session, began = world.sessions.open(), time.process_time()
     session.receive(packet(1, LOGIN) + packet(0, b"\x03" + text))
-    assert time.process_time() - began < MOST_SECONDS
+    assert time.process_time() - began < MAX_CPU_SECONDS
 
 
 @CASES
@@ -127,7 +127,7 @@
 @CASES
 @given(ENGINE_BYTES, st.integers(1, 40))
 def test_an_engines_bytes(parts: list[bytes], pieces: int) -> None:
-    """The request there gets one final answer at most; the one at the other engine keeps its own."""
+    """The query at this engine has at most one final answer; the other engine's query is not affected."""
     world = World().run("c1 query lookup r1\ne1 expect GET r1 *\nc2 query lookup r2\ne2 expect GET r2 *")
     connection, data = world.engine_stream("e2").connection, b"".join(parts)
     for at in range(0, len(data), pieces):
@@ -195,7 +195,7 @@
 
 
 def test_what_is_malformed_is_counted_and_told_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
-    """All of it within one moment: the log's bucket is never filled again."""
+    """All input arrives at the same time, so the log's rate limit is never refilled."""
     log, world = Log(seconds=lambda: 0.0), World(engines="a")
     world.gateway.log = world.engines.log = log.write_line
     peers = PeerDatagrams((Address("a", 1),), None, world.counters, log.write_line)
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -43,7 +43,7 @@
 def log_execution(
     engine: list[LogLine], ref: str, number: int, arrived_at: float, began_at: float | None, ended_at: float
 ) -> None:
-    """What an engine writes of a load on k1."""
+    """Append an engine's log lines of a load on key k1."""
     engine.append([arrived_at, "get", ref, "load", "k1", number, 100.0])
     if began_at is not None:
         engine.append([began_at, "run", ref])
@@ -51,7 +51,7 @@
 
 
 def clean_logs() -> RunLogs:
-    """Load 1 is at a0 and has not begun when n0 breaks; asked again at n1, b0 runs it. Load 2 follows."""
+    """Return logs: load 1 has not begun at a0 when n0 fails, its retry at n1 runs at b0, load 2 follows."""
     engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
     log_execution(engines["a0"], "r1", 1, 100.01, None, 100.30)
     log_execution(engines["b0"], "r2", 1, 100.60, 100.61, 100.70)
@@ -71,7 +71,7 @@
 
 
 def run_before_the_failure(logs: RunLogs) -> None:
-    """The first attempt had begun when its instance broke."""
+    """Let the first attempt begin before its instance fails."""
     logs.engines["a0"][2:2] = [[100.02, "run", "r1"]]
 
 
@@ -80,14 +80,14 @@
 
 
 def run_at_once(logs: RunLogs) -> None:
-    """Load 2 is asked for, and begins at the other engine, while load 1 runs."""
+    """Let load 2 be requested and begin at the other engine while load 1 runs."""
     del logs.engines["b0"][4:]
     log_execution(logs.engines["a0"], "r3", 2, 100.62, 100.63, 100.75)
     logs.clients[4:] = [[100.62, "ask", "r3", "load", 0, 0, 2, 3000], [100.9, "served", "r3", "a0"]]
 
 
 def run_in_reverse_order(logs: RunLogs) -> None:
-    """Load 1 was given up as one that may have run, and runs after load 2 nevertheless."""
+    """Let load 1 fail as one that may have run, but still run after load 2."""
     logs.clients[3] = [100.8, "failed", "r2", "the query failed; it may have run"]
     del logs.engines["b0"][1:]
     log_execution(logs.engines["b0"], "r3", 2, 101.01, 101.02, 101.12)
@@ -224,7 +224,7 @@
 
 
 def test_a_prepared_engine_takes_its_settings_and_later_changes(tmp_path: Path) -> None:
-    """Both lines come at once: the second is left for the control of the engine that serves."""
+    """Both lines arrive together; the second remains for the control of the running engine."""
     ledger = tmp_path / "a0.jsonl"
     settings = {"id": "a0", "port": 0, "ledger": str(ledger), "traits": {}}
     lines = json.dumps(settings) + "\n" + json.dumps({"slow": 7.0}) + "\n"
--- a/tests/emulator/test_checker_projections.py
+++ b/tests/emulator/test_checker_projections.py
@@ -1,4 +1,4 @@
-"""What was projected of a zone's loss, against what the logs show: right, and planted wrong ones."""
+"""Checks projections of a zone's loss against the logs: correct ones, and wrong ones to be detected."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run_logs(projected: dict[str, float], scenario: Scenario = LOST) -> RunLogs:
-    """Ten requests a second of a's clients, served in a, and from the fault on in b."""
+    """Return logs of ten requests per second from zone a's clients, served in a, and after the fault in b."""
     engines: dict[str, list[LogLine]] = {name: [] for name in scenario.engine_names()}
     clients: list[LogLine] = []
     for i in range(int(10 * scenario.duration_s)):
--- a/tests/emulator/test_checker_recovery.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -48,8 +48,11 @@
 
 
 def recovery_logs(served: Callable[[int, int, int], bool]) -> RunLogs:
-    """Twenty requests a second at each instance, served by the engine of its zone or refused: by second,
-    instance and number."""
+    """Return logs of twenty requests per second at each instance, served by its zone's engine or rejected.
+
+    Args:
+        served: Whether a request is served, by second, instance and number in that second.
+    """
     engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
     clients, client = list[LogLine](), 0
     for second in range(10):
@@ -81,7 +84,7 @@
 
 
 def test_possible_utility_counts_requests_that_can_wait() -> None:
-    """Twenty requests of 10 ms in each of two steps; the engines are there from the second on."""
+    """Two steps have twenty requests of 10 ms each; the engines are up from the second step on."""
     requests = {str(n): RequestLog(100.0 + BIN_S * (n % 2), "cheap", 0, 0, n, 1000.0) for n in range(40)}
     logs = RunLogs({}, [], 100.0)
     assert possible_utility(RECOVERY, logs, requests, [0.0, 1000.0, 0.0]) == [20.0, 20.0, 0.0]
@@ -90,7 +93,7 @@
 
 
 def test_instances_that_treat_equal_requests_differently_are_measured() -> None:
-    """Half of those at n1 are turned away in one second of the return, none at n0."""
+    """Half of the requests at n1 are rejected in one second of the return, and none at n0."""
     figures = check_run(
         RECOVERY, recovery_logs(lambda second, i, n: not (second == 3 and i == 1 and n % 2))
     ).figures
@@ -100,7 +103,7 @@
 
 
 def test_an_instance_that_started_late_is_not_compared_with_earlier_service() -> None:
-    """n1 is there only from 4 s on, and everybody is turned away until then."""
+    """n1 starts only at 4 s, and all requests are rejected until then."""
     logs = recovery_logs(lambda second, i, n: second >= 4)
     early = {line[2] for line in logs.clients if line[1] == "ask" and line[4] == 1 and line[0] < 104.0}
     for line in logs.clients:
@@ -246,7 +249,7 @@
 def test_a_cold_engine_tolerates_more_work_as_it_warms_up(
     age: float, work: float, is_overloaded: bool
 ) -> None:
-    """Three times slower at first and evenly faster until 3 s; at its coldest it bears 1000 ms of work."""
+    """The engine is three times slower at first, warm after 3 s, and tolerates 1000 ms of work when cold."""
     traits = EngineTraits(
         cold_slowdown=3.0, warm_after_ms=3000.0, overload_work_ms=1000.0, overload_window_ms=1500.0
     )
--- a/tests/emulator/test_consul.py
+++ b/tests/emulator/test_consul.py
@@ -1,4 +1,4 @@
-"""The stand-in Consul: its fidelity by an independent client (py-consul), its catalogue and its scripts."""
+"""The emulated Consul agent: its API as used by an independent client (py-consul), catalogue and scripts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ServerThread:
-    """A stand-in with an event loop in a thread."""
+    """An emulated agent with its event loop in a thread."""
 
     def __init__(self, token: str = "") -> None:
         self.loop = asyncio.new_event_loop()
@@ -57,7 +57,7 @@
     api = client(server_thread)
     check = consul.Check.ttl("30s")
     assert api.agent.service.register("engine", "e1", "10.0.0.1", 9000, tags=["a"], check=check)
-    # A TTL check begins critical, as the agent's page says.
+    # A TTL check is critical at first, as documented for the agent.
     assert check_statuses(api) == ["critical"]
     assert api.agent.check.ttl_pass("service:e1", notes="fine")
     assert check_statuses(api) == ["passing"]
--- a/tests/emulator/test_power_losses.py
+++ b/tests/emulator/test_power_losses.py
@@ -1,4 +1,4 @@
-"""What is counted over many power losses: loads by their number, whichever request they came by."""
+"""Figures over many power losses, which identify a load by its number and not by its requests."""
 
 from __future__ import annotations
 
@@ -26,8 +26,11 @@
 
 
 def clean_logs() -> Logs:
-    """Load 7 has begun at a0 as power goes; its retry is told so at n1. Load 8 had not come that far: its
-    retry is sent."""
+    """Return logs of a power loss during two loads.
+
+    Load 7 had begun at a0, and its retry at n1 fails with that reason. Load 8 had not begun, and its retry is
+    sent.
+    """
     return {
         "clients": [
             [101.0, "ask", "r1", "load", 0, 0, 7, 5000],
@@ -49,7 +52,7 @@
 
 
 def tallied(logs: Logs) -> Tally:
-    """All lines, with the power loss between."""
+    """Return a tally of all log lines, with the power loss at its time."""
     tally = Tally()
     for before in (True, False):
         for name, lines in logs.items():
@@ -71,7 +74,7 @@
 
 
 def run_again(logs: Logs) -> None:
-    """Load 7's retry is sent, and begins; the first one never came to its end."""
+    """Let load 7's retry be sent and begin, although its first execution never ended."""
     logs["b0"] += [[104.2, "get", "r3", "load", "k7", 7, 300.0], [104.2, "run", "r3"]]
 
 
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of pure schedulers in virtual time, all of whose engines start cold under a burst."""
+"""A fleet of schedulers in virtual time whose engines all start cold during a burst of queries."""
 
 from __future__ import annotations
 
@@ -40,25 +40,25 @@
     has_retry_after=True,
     max_retry_after_ms=500.0,
 )
-START_MS, COLD_MS = 1000.0, 3500.0  # gateways start; all engines start anew, and the burst begins
+START_MS, COLD_MS = 1000.0, 3500.0  # start of the gateways; restart of all engines and start of the burst
 BURST = 4.0
 HEALTH_CHECK_WORK_MS = 0.6
-LONG_SHARE = 0.15  # of the queries
+LONG_SHARE = 0.15  # share of long queries
 
 
 @dataclass(frozen=True)
 class Site:
-    """The fleet, its rules, and the mean work of the two classes."""
+    """The size of the fleet, its rules, and the mean work of the two query classes."""
 
     gateways: int
     engines: int
-    per_s: float  # queries of a gateway
+    per_s: float  # queries per second at each gateway
     cores: int = 8
     cold_capacity_share: float = 0.33
     overload_factor: float = 4.0
     overload_window_ms: float = 1500.0
     costs: tuple[float, float] = (200.0, 4000.0)
-    uneven: float = 0.0  # spread of the gateways' traffic, as a standard deviation of its logarithm
+    uneven: float = 0.0  # standard deviation of the logarithm of the gateways' traffic
     list_delay_ms: float = 0.0
     seed: int = 1
 
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class Sent:
-    """What an engine was sent: its work in ms, and what its class usually is."""
+    """A query sent to an engine: time, its work and the usual work of its class, all in ms."""
 
     at: float
     work: float
@@ -102,7 +102,7 @@
 
 
 class ColdFleet:
-    """Plays one site; `sent` tells what each engine got after its cold start, with the time and the work."""
+    """Simulates one site; `sent` holds the queries and health checks sent to each engine."""
 
     def __init__(self, site: Site) -> None:
         self.site, self.random = site, random.Random(site.seed)
@@ -115,7 +115,7 @@
         self.work: dict[str, tuple[float, int, float]] = {}
         self.running = dict.fromkeys(self.names, 0)
         self.sent: dict[str, list[Sent]] = {name: [] for name in self.names}
-        self.at(COLD_MS, self._turn_cold)
+        self.at(COLD_MS, self._restart_engines)
         for gateway_index in range(site.gateways):
             self.at(START_MS, partial(self.start, gateway_index=gateway_index))
             self.at(
@@ -135,13 +135,13 @@
         return self
 
     def start(self, now: float, gateway_index: int) -> None:
-        """A gateway starts, or starts again with nothing known."""
+        """Start a gateway, or restart it without any state."""
         self.gateways[gateway_index] = Scheduler(
             replace(self.settings, gateway_index=gateway_index), self.random.randrange(1 << 30)
         )
         self._list_engines(now, gateway_index)
 
-    def _turn_cold(self, now: float) -> None:
+    def _restart_engines(self, now: float) -> None:
         self.started = now
 
     def _list_engines(self, now: float, gateway_index: int) -> None:
@@ -213,12 +213,12 @@
         self.at(now + took, end)
 
     def capacity(self, now: float) -> float:
-        """Work in ms a ms: from the cold share evenly up to all of it."""
+        """Return an engine's capacity in ms of work per ms, which rises linearly from its cold share."""
         warm = min(1.0, (now - self.started) / self.settings.rules.warm_up_ms) if self.started else 1.0
         return self.site.cores * (self.site.cold_capacity_share + (1 - self.site.cold_capacity_share) * warm)
 
     def _max_load(self, weigh: Callable[[Sent], float]) -> float:
-        """The most that any window of any engine got, as a part of what makes it fall."""
+        """Return the largest load of any engine in any window, as a share of the load that overloads it."""
         worst = 0.0
         for sends in self.sent.values():
             held = list[tuple[float, float]]()
@@ -238,21 +238,21 @@
         return worst
 
     def max_load_by_work(self) -> float:
-        """By the work that each query really was."""
+        """Return the largest load, with each query weighted by its actual work."""
         return self._max_load(lambda sent: sent.work)
 
     def max_load_by_usual_work(self) -> float:
-        """By what its class usually is, which is how the rule on cold engines weighs it."""
+        """Return the largest load, each query weighted by its class's usual work, as the rule requires."""
         return self._max_load(lambda sent: sent.usual)
 
     def used_share(self, until: float) -> float:
-        """Part of the budget that all engines together got, in work."""
+        """Return the share of the budget of all engines together that was used, in work."""
         got = sum(sent.work for sends in self.sent.values() for sent in sends if sent.at >= COLD_MS)
         span = until - COLD_MS
         return got / (self.site.overload_factor * self.capacity(COLD_MS) * span * len(self.names))
 
 
 def overload_limit(allowed: float) -> float:
-    """Requests of mean work from which on an engine is overloaded."""
+    """Return the number of requests of mean work in a window above which an engine is overloaded."""
     slack = 3 * math.sqrt(allowed) + 3 if allowed < 30 else 2 * math.sqrt(allowed) + 2
     return allowed + slack
--- a/tests/support/drawn_cases.py
+++ b/tests/support/drawn_cases.py
@@ -1,4 +1,4 @@
-"""What drawn tests of readers share."""
+"""Shared parts of the tests that feed random input to readers."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 def untroubled(world: World) -> bool:
-    """Nothing was caught that should not have come."""
+    """Return whether no unexpected exception was caught."""
     return not any(world.counters.counts[name] for name in FAULTS)
 
 
 def places(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The ways to all values in a JSON object."""
+    """Return the paths to all values in a JSON object."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [path] * bool(path) + [way for key, part in inner for way in places(part, (*path, key))]
+    return [path] * bool(path) + [nested for key, part in inner for nested in places(part, (*path, key))]
 
 
 def changed(source: Any, path: tuple[Any, ...], value: Any) -> Any:
-    """A copy with another value at a place; ... takes it out."""
+    """Return a copy with another value at a path; ... removes the value."""
     copied = copy.deepcopy(source)
     part = copied
     for key in path[:-1]:
--- a/tests/support/faulty_sockets.py
+++ b/tests/support/faulty_sockets.py
@@ -1,4 +1,4 @@
-"""Real sockets whose calls fail by script: errno values, EINTR, short reads and writes, call by call.
+"""Real sockets whose system calls fail as a test plans: errno values, EINTR, short reads and writes.
 
     faults = Faults()
     event_loop = EventLoop(loop, counters, log, faults.make)
@@ -7,8 +7,8 @@
     faults.always("accept", errno.EMFILE)                        # until faults.heal("accept")
     assert faults.calls["accept"] < 10 and not faults.open
 
-Calls are named as the methods of a socket; `socket` is the making of one, `so_error` the error that a connect
-ends with. A connect that a signal interrupts goes on, as Linux has it.
+Calls have the names of the socket's methods. `socket` is the creation of a socket, `so_error` the error with
+which a connect ends. A connect that a signal interrupts continues, as on Linux.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Short:
-    """A call that moves so many bytes at most."""
+    """A call that transfers at most `count` bytes."""
 
     count: int
 
@@ -36,49 +36,49 @@
 
 
 class Faults:
-    """The script for all sockets of one event loop, and the calls on them."""
+    """The planned faults of all sockets of an event loop, and counts of the calls on them."""
 
     def __init__(self) -> None:
         self.plans: defaultdict[tuple[str, str], deque[Step]] = defaultdict(deque)
         self.lasting: dict[tuple[str, str], Step] = {}
         self.calls: Counter[str] = Counter()
-        self.open: set[FaultySocket] = set()  # what was made or accepted, and not closed
+        self.open: set[FaultySocket] = set()  # sockets that were created or accepted and not closed
 
     def plan(self, call: str, *steps: Step, on: str = "") -> None:
-        """Plan the next calls: an errno fails, Short(n) moves n bytes at most, OK calls the system."""
+        """Plan the next calls: an errno fails, Short(n) transfers at most n bytes, OK succeeds."""
         self.plans[call, on].extend(steps)
 
     def always(self, call: str, step: Step, on: str = "") -> None:
-        """Plan each call that has no planned step, until healed."""
+        """Plan all calls that have no planned step, until `heal`."""
         self.lasting[call, on] = step
 
     def heal(self, call: str, on: str = "") -> None:
-        """Have the system decide from now on."""
+        """Remove all plans for a call, so that the operating system handles it."""
         self.lasting.pop((call, on), None)
         self.plans.pop((call, on), None)
 
     def make(self, family: socket.AddressFamily, kind: socket.SocketKind) -> socket.socket:
-        """A socket under this script."""
+        """Return a new socket that has the planned faults."""
         self.step("socket", MADE)
         sock = FaultySocket(family, kind)
         sock.join(self, MADE)
         return sock
 
     def adopt(self, plain: socket.socket, role: str = MADE) -> socket.socket:
-        """A socket that was made elsewhere, under this script."""
+        """Return a replacement of an existing socket that has the planned faults."""
         sock = FaultySocket(plain.family, plain.type, plain.proto, plain.detach())
         sock.join(self, role)
         return sock
 
     def step(self, call: str, role: str) -> int:
-        """How many bytes this call may move. Raises the planned OSError."""
+        """Return how many bytes this call may transfer. Raises the planned OSError."""
         step = self.next(call, role)
         if isinstance(step, int):
             raise OSError(step, os.strerror(step))
         return step.count
 
     def next(self, call: str, role: str) -> Step:
-        """The next step of a call."""
+        """Count a call and return its planned step."""
         self.calls[call] += 1
         for key in ((call, role), (call, "")):
             if self.plans[key]:
@@ -89,13 +89,13 @@
 
 
 class FaultySocket(socket.socket):
-    """A socket under a script."""
+    """A socket with planned faults."""
 
     faults: Faults
     role: str
 
     def join(self, faults: Faults, role: str) -> None:
-        """Put the socket under the script."""
+        """Apply planned faults to the socket."""
         self.faults, self.role = faults, role
         faults.open.add(self)
 
--- a/tests/support/forwarding_network.py
+++ b/tests/support/forwarding_network.py
@@ -1,4 +1,4 @@
-"""Dispatchers that forward requests over a faulty network in virtual time, and the rules that must hold."""
+"""Dispatchers that forward requests over a faulty network in virtual time, with checks of the invariants."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass
 class Attempt:
-    """One forwarded request and all that became of it. Times are of the simulation, in ms."""
+    """One forwarded request with its results. Times are those of the simulation, in ms."""
 
     id: int
     request_id: str
@@ -44,18 +44,18 @@
     queue_key: bytes
     deadline: float
     accepts: list[tuple[float, int, float]] = field(default_factory=list)  # when, owner, remaining ms
-    answered: tuple[ForwardResult, bytes] | None = None  # by the gateway
+    answered: tuple[ForwardResult, bytes] | None = None  # result that the owner's gateway reported
     results: list[tuple[float, ForwardingEnded]] = field(default_factory=list)
-    has_no_client: bool = False  # its client left, or its origin died
+    has_no_client: bool = False  # its client disconnected, or its origin crashed
 
     @property
     def may_have_run(self) -> bool:
-        """The gateway ran it, or may have."""
+        """Whether the owner's gateway ran the request, or may have run it."""
         return bool(self.accepts) and (self.answered is None or self.answered[0] not in NOTHING_RAN)
 
 
 class DriftingClock:
-    """A `RequestForwarder` on a clock of its own: another zero, a rate that is off by up to 0.04%."""
+    """A `RequestForwarder` on its own clock, with another origin and a rate that differs by up to 0.04%."""
 
     def __init__(self, inner: RequestForwarder, draw: random.Random, born: float) -> None:
         self.inner, self.rate = inner, 1.0 + draw.uniform(-4e-4, 4e-4)
@@ -75,7 +75,12 @@
 
 
 class ForwardingNetwork(Net):
-    """on_result: what an origin does after a result. serve: how long a gateway takes, and its result."""
+    """A network of three dispatchers that forward requests to each other.
+
+    Attributes:
+        on_result: Called with an attempt and its result at the origin.
+        serve: Returns how long a gateway takes for a request, in ms, and its result.
+    """
 
     def __init__(self, seed: int, settings: ForwardingSettings | None = None) -> None:
         self.settings, self.attempts = settings or ForwardingSettings(), list[Attempt]()
@@ -113,7 +118,7 @@
         queue_key: bytes = b"",
         request_id: str = "",
     ) -> Attempt:
-        """One of `size` bytes at least 8, whose client waits so long."""
+        """Forward a request with a body of `size` bytes, at least 8, and a timeout in ms."""
         id_ = len(self.attempts)
         body = id_.to_bytes(8, "big") + random.Random(id_).randbytes(max(size - 8, 0))
         attempt = Attempt(
@@ -137,7 +142,7 @@
         return attempt
 
     def leave(self, attempt: Attempt) -> None:
-        """Its client leaves before the result."""
+        """Disconnect an attempt's client, unless it has a result."""
         if not attempt.results and not attempt.has_no_client:
             attempt.has_no_client = True
             clock = self.running[attempt.origin]
@@ -179,7 +184,7 @@
                 self.abandoned.append((member, a.number))
 
     def transmit(self, member: int, message: SendConsensusMessage) -> None:
-        """Deliver a message: lost, late, duplicated, or followed by a forged one."""
+        """Send a message, which may be lost, late, duplicated, or accompanied by forged ones."""
         if self.forged and self.draw.random() < self.forged:
             self.forge(member, message)
         if self.draw.random() < self.loss or frozenset((member, message.member)) in self.cut_links:
@@ -194,7 +199,7 @@
         heapq.heappush(self.events, (self.now + delay, next(self.order), member, incarnation, delivery))
 
     def forge(self, member: int, message: SendConsensusMessage) -> None:
-        """Another member repeats the message in its own name; it arrives truncated, longer, or as noise."""
+        """Send a copy from another member, and truncated, extended and random versions of the message."""
         data, length = message.payload, self.draw.randrange(1, len(message.payload))
         noise = data[:2] + self.draw.randbytes(self.draw.randrange(60))
         for sender, payload in ((LIAR, data), (member, data[:length]), (member, data + b"\0"), (LIAR, noise)):
@@ -209,7 +214,7 @@
             delivery()
 
     def on_request_accepted(self, owner: int, accepted: RequestAccepted) -> None:
-        """The gateway has accepted a request, and will report a result."""
+        """Record that the owner's gateway accepted a request, and schedule its result."""
         if accepted.origin == LIAR:
             return
         attempt = self.by_body[accepted.body]
@@ -232,7 +237,7 @@
         self.post(wait, owner, self.incarnations[owner], done)
 
     def check(self) -> None:
-        """Check all rules after all deadlines. Raises AssertionError with the rule's name."""
+        """Check all invariants after all deadlines; raises AssertionError with the invariant's name."""
         for attempt in self.attempts:
             assert len(attempt.accepts) <= 1, ("accepted twice", attempt.id, attempt.accepts)
             assert all(owner == attempt.owner for _, owner, _ in attempt.accepts), (
@@ -253,7 +258,7 @@
             assert not status["open"] and not status["gathering_bytes"], ("not forgotten", status)
 
     def check_end(self, attempt: Attempt) -> None:
-        """Check that a request has one result, in time, and true."""
+        """Check that a request has at most one result, in time and consistent with what the owner did."""
         assert len(attempt.results) <= 1 and (attempt.has_no_client or attempt.results), (
             "one end",
             attempt.id,
@@ -346,7 +351,7 @@
 def _draw_member_faults(
     net: ForwardingNetwork, draw: random.Random
 ) -> list[tuple[float, Callable[[], None]]]:
-    """Up to two crashes or pauses of a dispatcher, each with its end."""
+    """Return up to two crashes or pauses of dispatchers, each with its end."""
     events: list[tuple[float, Callable[[], None]]] = []
     for _ in range(draw.randrange(3)):
         member, at = draw.choice((A, B, C)), draw.uniform(0, 1500)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,6 +1,6 @@
-"""An event loop on loopback sockets whose calls fail by script, between a gateway and the test's peers.
+"""An event loop on loopback sockets whose system calls fail as planned, between a gateway and a test's peers.
 
-The gateway's clock stands still unless a test moves it; `until` runs the loop until something has happened.
+The gateway's clock advances only when a test advances it; `until` runs the loop until a condition holds.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from tests.support.faulty_sockets import Faults
 from tests.support.scenario import LOGIN, SETTINGS, World, packet
 
-HANG_S = 5.0  # a test that takes longer has failed
+HANG_S = 5.0  # a test that takes longer fails
 GREETED = ["greeting", "ok"]
 ROWS = [*GREETED, "eof", "eof"]
 REQUEST_ID = b"%016x"
 
 
 class Client:
-    """A client's end of a connection."""
+    """A client with its connection to the gateway."""
 
     def __init__(self, address: Any) -> None:
         self.sock = socket.create_connection(address)
@@ -40,7 +40,7 @@
         self.sock.send(packet(0, b"\x03" + text.encode()))
 
     def responses(self) -> list[str]:
-        """Greeting, ok, results and errors received so far; "end" or "reset" after the last."""
+        """Return the greeting, OKs, results and errors received so far, then "end" or "reset" once closed."""
         ending = ""
         try:
             while data := self.sock.recv(1 << 16):
@@ -64,13 +64,13 @@
         return [*responses, ending] if ending else responses
 
     def finished(self) -> bool:
-        """Whether a first result has arrived, or the connection has ended."""
+        """Return whether a first result has arrived or the connection has ended."""
         responses = self.responses()
         return len(responses) >= len(ROWS) or responses[-1:] in (["end"], ["reset"])
 
 
 class Engine:
-    """An engine's listener: records the requests, and answers one when the test says so."""
+    """An engine's listener, which records requests and answers one when the test calls `serve`."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -93,12 +93,12 @@
                 data = connection.recv(1 << 16)
             except OSError:
                 continue
-            for words in reader.feed(data):
-                self.verbs.append(words[0])
-                if words[0] == b"GET":
-                    self.request_ids.append(words[1])
-                elif words[0] == b"LOAD":
-                    connection.send(encode_array(words[1], b"green", b"gauges=inflight:1", b""))
+            for request in reader.feed(data):
+                self.verbs.append(request[0])
+                if request[0] == b"GET":
+                    self.request_ids.append(request[1])
+                elif request[0] == b"LOAD":
+                    connection.send(encode_array(request[1], b"green", b"gauges=inflight:1", b""))
 
     def serve(self, request_id: bytes, page: bytes = b"a\tb\tc\n") -> None:
         """Answer a request with one page."""
@@ -111,7 +111,7 @@
 
 
 class Loopback:
-    """The event loop with its gateway, some engines and clients."""
+    """An event loop with its gateway, engines and clients."""
 
     def __init__(self, settings: Settings = SETTINGS, engines: int = 1, sockets: int = 256) -> None:
         self.world = World(settings, engines="", sockets=sockets)
@@ -148,23 +148,23 @@
             await self.turn()
 
     def request_ids(self) -> list[bytes]:
-        """The ids of the requests at all engines."""
+        """Return the ids of the requests that all engines have received."""
         return [request_id for engine in self.engines for request_id in engine.request_ids]
 
     async def serve(self, number: int) -> None:
-        """Wait until an engine has a request, and have it answered."""
+        """Wait until an engine has received a request, and answer it."""
         request_id = REQUEST_ID % number
         await self.until(lambda: request_id in self.request_ids())
         next(engine for engine in self.engines if request_id in engine.request_ids).serve(request_id)
 
     async def pass_ms(self, ms: int) -> None:
-        """Let the gateway's time pass."""
+        """Advance the gateway's clock by a number of ms."""
         for _ in range(ms):
             self.world.wait(1)
             await self.turn()
 
     async def close(self) -> None:
-        """Close everything; whatever is still open then has leaked."""
+        """Close everything, and check that no socket, session or connection has leaked."""
         self.accepting.cancel()
         for endpoint in list(self.world.engines.endpoints.values()):
             for connection in list(endpoint.connections):
--- a/tests/support/member_network.py
+++ b/tests/support/member_network.py
@@ -1,4 +1,4 @@
-"""Members with disks on a network in virtual time: loss, duplicates, disorder, crashes, pauses."""
+"""Members with disks on a network in virtual time, with loss, duplicates, reordering, crashes and pauses."""
 
 from __future__ import annotations
 
@@ -12,8 +12,14 @@
 
 
 class Net:
-    """`make(member, incarnation, disk)` returns a machine with on_message, on_persisted, step and next_at.
-    Times in ms."""
+    """The network. Times are in ms.
+
+    Args:
+        members: Ids of the members.
+        make: Function of member, incarnation and disk contents that returns a state machine with the methods
+            on_message, on_persisted, step and next_at.
+        seed: Seed of the run.
+    """
 
     def __init__(
         self, members: Iterable[int], make: Callable[[int, int, dict[str, bytes]], Any], seed: int = 1
@@ -26,8 +32,8 @@
         self.loss = self.duplicate_chance = 0.0
         self.max_delay_ms = 8.0
         self.cut_links: set[frozenset[int]] = set()
-        self.failed_disks: set[int] = set()  # members whose disk writes nothing
-        self.stopped: set[int] = set()  # members that get no processor time
+        self.failed_disks: set[int] = set()  # members whose disks never complete a write
+        self.stopped: set[int] = set()  # members whose processes are paused
         self.events: list[tuple[float, int, int, int, Any]] = []
         self.disk_free = dict.fromkeys(self.ids, 0.0)
         self.other_actions: list[tuple[float, int, Any]] = []  # neither SendConsensusMessage nor PersistState
@@ -43,12 +49,12 @@
         self.act(member, self.running[member].step(self.now))
 
     def stop(self, member: int) -> None:
-        """Its process ends, and loses all that is not on disk."""
+        """End a member's process; everything that is not on its disk is lost."""
         self.running.pop(member, None)
         self.stopped.discard(member)
 
     def pause(self, member: int) -> None:
-        """It gets no processor time: what arrives waits."""
+        """Pause a member's process; messages wait until it resumes."""
         self.stopped.add(member)
 
     def resume(self, member: int) -> None:
--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -1,7 +1,7 @@
-"""Surveys and load histories on a network in virtual time: folders, links, clients, and what really ran.
+"""Membership surveys and load histories on a network in virtual time, with state folders, links and clients.
 
-Each has its own monotonic clock, off by years and a little too fast or slow. A client requests a load, and
-retries where it gets no result; the world counts what really ran.
+Each instance has its own monotonic clock, with an offset of up to years and a slightly different rate. A
+client requests a load, and retries if it receives no result. The world counts the loads that actually ran.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 )
 from cottonhold.fleet.recovery.messages import MemoryState, Presence, decode
 
-LONGEST_DEADLINE_MS = 2000.0  # clients' deadline, ms
+LONGEST_DEADLINE_MS = 2000.0  # deadline of the clients' loads
 RETENTION_MS = local_loads.retention_ms_for([LONGEST_DEADLINE_MS], slack_ms=2000.0)
 SURVEY = survey_results.SurveySettings(
     recent_start_ms=12_000.0,
@@ -41,7 +41,7 @@
 
 @dataclass
 class Folder:
-    """What lasts."""
+    """The state of an instance that survives its process."""
 
     boot_count: int = 0
     was_clean_shutdown: bool = True
@@ -52,7 +52,7 @@
 
 @dataclass
 class Node:
-    """One process."""
+    """One process of an instance, with its clock."""
 
     number: int
     member: int
@@ -75,7 +75,7 @@
 
 @dataclass
 class Client:
-    """Waits for a load. answer: its final one."""
+    """A client that waits for a load; `answer` is its final answer."""
 
     load: bytes
     name: str
@@ -85,7 +85,7 @@
 
 
 class World:
-    """Everything at once. `loss` and `again`: chances of a datagram's loss and of its coming twice."""
+    """The whole model; `loss` and `again` are the probabilities that a datagram is lost or duplicated."""
 
     def __init__(self, count: int, seed: int, zones: int = 3, loss: float = 0.0, again: float = 0.0) -> None:
         self.count, self.draw, self.now = count, random.Random(seed), 0.0
@@ -171,7 +171,7 @@
                 self._again(client)
 
     def partition(self, *sides: Iterable[int]) -> None:
-        """Only those of one side hear one another."""
+        """Split the network, so that only instances of the same side reach each other."""
         where = {n: i for i, side in enumerate(sides) for n in side}
         pairs = itertools.combinations(range(self.count), 2)
         self.cut = {frozenset(pair) for pair in pairs if where.get(pair[0]) != where.get(pair[1])}
@@ -258,8 +258,14 @@
             self._schedule(node)
 
     def first(self, number: int, load: bytes, lasts: float, ends: bool = True) -> Client:
-        """A client's first request for a load, which lasts so long; without `ends` its client never learns of
-        its end."""
+        """Send a client's first request for a load.
+
+        Args:
+            number: Number of the instance that receives it.
+            load: Identity of the load.
+            lasts: Duration of the load, in ms.
+            ends: Whether the load may succeed; otherwise it ends as failed, and the client retries.
+        """
         client = Client(load, f"{number}/{next(self.names)}")
         self.clients.append(client)
         node, took = self.nodes[number], False
@@ -296,7 +302,7 @@
                 self._again(client)
 
     def _again(self, client: Client) -> None:
-        """It comes again at any instance that is up."""
+        """Retry at a random running instance, or give up."""
         there = [n.number for n in self.nodes.values() if n.alive]
         if client.attempts >= 6 or not there:
             self._done(client, "gave up")
@@ -340,18 +346,18 @@
 
 
 def settled(count: int, seed: int = 1, **links: float) -> World:
-    """A fleet that has been up for long: no loss counts any more."""
+    """Return a fleet that has been up so long that no earlier outage affects it."""
     world = World(count, seed, **links)  # type: ignore[arg-type]
     world.start(*range(count), folder="kept")
     world.run(HISTORY.retention_ms + 1100.0)
-    world.kill(*range(count), clean=True)  # the second start finds folders
+    world.kill(*range(count), clean=True)  # the second start uses the folders of the first
     world.start(*range(count))
     world.run(SURVEY.recent_start_ms + 3000.0)
     return world
 
 
 def client_retries(world: World, number: int, load: bytes) -> Client:
-    """A client's retry at an instance, of a load that some other client asked for before."""
+    """Retry at an instance a load that another client requested before."""
     client = Client(load, "")
     client.attempts = 6
     world.clients.append(client)
--- a/tests/support/scheduler_events.py
+++ b/tests/support/scheduler_events.py
@@ -1,4 +1,4 @@
-"""Settings, events and actions for tests of the scheduler, in short forms."""
+"""Short forms of settings, events and actions for tests of the scheduler."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def settings(cls: QueryClass = LOOKUP, **changes: Any) -> Settings:
-    """Settings of a small deployment with changes."""
+    """Return the settings of a small deployment with changes."""
     base = Settings(
         classes=(cls,),
         machine_types=(MachineType(8, 16000.0),),
@@ -28,35 +28,35 @@
 
 
 def engines(*names: str, **fields: Any) -> EngineList:
-    """A complete engine list."""
+    """Return a complete engine list."""
     return EngineList(tuple(Engine(n, **fields) for n in names), is_complete=True)
 
 
 def arrival(
     name: str, deadline_at: float = 5000.0, estimated_work_ms: float = 100.0, **fields: Any
 ) -> QueryArrived:
-    """A client's query."""
+    """Return the arrival of a client's query."""
     query_class = fields.pop("query_class", 0)
     return QueryArrived(name, query_class, deadline_at, estimated_work_ms=estimated_work_ms, **fields)
 
 
 def ended(name: str, outcome: Outcome, attempt: int = 0, engine: str = "e1", **fields: Any) -> AttemptEnded:
-    """The end of an attempt."""
+    """Return the end of an attempt."""
     return AttemptEnded(name, attempt, engine, outcome, fields.pop("elapsed_ms", 10.0), **fields)
 
 
 def sends(actions: list[Action]) -> list[tuple[str, str]]:
-    """Query and engine of each attempt that is started."""
+    """Return the query and engine of each attempt that is started."""
     return [(a.query_id, a.engine) for a in actions if isinstance(a, Send)]
 
 
 def answers(actions: list[Action]) -> list[Action]:
-    """The final answers."""
+    """Return the final answers."""
     return [a for a in actions if isinstance(a, Reject | Fail)]
 
 
 def started(setup: Settings, *names: str, **fields: Any) -> Scheduler:
-    """A scheduler that has taken its first engine list."""
+    """Return a scheduler that has received its first engine list."""
     scheduler = Scheduler(setup, 1)
     scheduler.step(0.0, [engines(*names, **fields)])
     return scheduler
