--- a/benchmarks/fleet/overload.py
+++ b/benchmarks/fleet/overload.py
@@ -73,7 +73,7 @@
     world.claim_factors[0] = claim_factor
     if is_partitioned:
         half = len(weights) // 2
-        world.is_cut = lambda sender, target: (sender < half) != (target < half)
+        world.is_disconnected = lambda sender, target: (sender < half) != (target < half)
     return world
 
 
--- a/cottonhold/emulator/consul/script.py
+++ b/cottonhold/emulator/consul/script.py
@@ -1,6 +1,6 @@
-"""Scripts for the stand-in Consul: what goes wrong, when, and for how long. One step a line:
+"""Scripts for the emulated Consul agent: changes and faults with their times. Each line is a step:
 
-    # seconds from the start, what, and its arguments
+    # seconds from the start, kind, and arguments
     2.0  critical e1
     2.5  fault cut 3        # for 3 s, answers to watchers break off in mid-body
     8    maintenance e2 on
@@ -49,7 +49,7 @@
     GRANT = "grant"
 
 
-FAULT_WORD = "fault"
+FAULT_KEYWORD = "fault"
 FAULT_ARGUMENTS: dict[str, int] = {
     kind: int(kind in (FaultKind.STATUS, FaultKind.STALE)) for kind in FaultKind
 }
@@ -92,7 +92,7 @@
         raise ValueError("a time before the start")
     if len(fields) < 2:
         raise ValueError("nothing to do")
-    if fields[1] == FAULT_WORD:
+    if fields[1] == FAULT_KEYWORD:
         return _parse_fault(at_s, fields[2:])
     if fields[1] not in CHANGE_ARGUMENTS:
         raise ValueError(f"a step is 'fault' or one of {', '.join(ChangeKind)}")
--- a/cottonhold/emulator/consul/server.py
+++ b/cottonhold/emulator/consul/server.py
@@ -1,6 +1,6 @@
-"""The stand-in Consul agent: its connections, blocking queries and scripts.
+"""The emulated Consul agent: its connections, blocking queries and scripts.
 
-What it does not do: ACL policies (one token or none), prepared queries, KV, sessions, Connect, namespaces,
+Not supported: ACL policies (one token or none), prepared queries, KV, sessions, Connect, namespaces,
 more than one server, and other filters than those of filters.py.
 """
 
--- a/cottonhold/emulator/credit_account.py
+++ b/cottonhold/emulator/credit_account.py
@@ -39,7 +39,7 @@
         saved, counted_at = self.credits.get(engine, (0.0, now))
         saved = min(max(bound * MAX_CREDIT_MS, work_ms), saved + bound * (now - counted_at))
         self.credits[engine] = saved, now
-        # If many instances have less credit than a query needs, only a few of them may start one at a time.
+        # Of many instances with less credit than a query needs, only a few may start one at the same time.
         rotation = 0 if self.is_warming_up else now // ROTATION_INTERVAL_MS
         position = (engine_number * PLASTIC_RATIO + (self.number + rotation) * GOLDEN_RATIO) % 1
         return saved >= max(work_ms * position, MIN_NEEDED_SHARE)
--- a/cottonhold/emulator/disk.py
+++ b/cottonhold/emulator/disk.py
@@ -149,9 +149,9 @@
 
 
 def install(name: str, control: Path | None = None) -> Disk:
-    """Register a new disk as the VFS of this name, and for the store's small files; return it.
+    """Register a new disk as the VFS of this name and for the store's small files; return it.
 
-    Called again, it is the return of power: only what reached the real files is there.
+    A second call simulates the return of power: the new disk has only the contents of the real files.
     """
     disk = Disk(control)
     if name in _INSTALLED:
--- a/cottonhold/emulator/engine_replacement.py
+++ b/cottonhold/emulator/engine_replacement.py
@@ -312,7 +312,7 @@
         arrival_at = self.now + self.hardware_delay_ms
         self.call_at(arrival_at, lambda: self._place_engine(engine, record.replacement))
 
-    def _restart_if_still_out(self, name: str) -> None:
+    def _restart_if_undetected(self, name: str) -> None:
         """Restart an engine again, as operators do, if no dispatcher has noticed its restart."""
         record, engine = self.record(name), self.engines[name]
         if record is None or record.step is not ReplacementStep.OUT or not engine.is_up:
@@ -324,7 +324,7 @@
         cores = self.replacement_cores.get(old.name, old.cores)
         if new == old.name:
             old.is_up, old.started_at, old.cores = True, self.now, cores
-            self.call_at(self.now + RESTART_NOTICE_MS, lambda: self._restart_if_still_out(new))
+            self.call_at(self.now + RESTART_NOTICE_MS, lambda: self._restart_if_undetected(new))
         else:
             self.listed.pop(old.name, None)
             self.engines[new] = self.listed[new] = Engine(new, old.zone, cores, True, self.now)
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -121,7 +121,7 @@
         """Receive messages, serve clients, and let the coordinator decide."""
         started_at, datagrams = time.perf_counter(), list[Datagram]()
         for data, sender in received:
-            datagrams += self._carry_out(now, self.fleet.on_message(now, sender.port, data))
+            datagrams += self._execute(now, self.fleet.on_message(now, sender.port, data))
         while self.pending_ends and self.pending_ends[0].ends_at <= now:
             end = heapq.heappop(self.pending_ends)
             self.fleet.on_attempt_ended(now, end.request_id, end.is_served, end.ends_at - end.sent_at)
@@ -130,7 +130,7 @@
             self.next_arrival_at += self._draw_arrival_interval_ms()
             self._serve(now)
         started_at = time.perf_counter()
-        datagrams += self._carry_out(now, self.fleet.step(now))
+        datagrams += self._execute(now, self.fleet.step(now))
         self.cpu_seconds += time.perf_counter() - started_at
         return datagrams
 
@@ -170,7 +170,7 @@
     def _is_allowed(self, now: float, engine: ModelEngine) -> bool:
         return self.credits.allows(now, engine.id, engine.number, engine.mean_work_ms)
 
-    def _carry_out(self, now: float, actions: Iterable[object]) -> list[Datagram]:
+    def _execute(self, now: float, actions: Iterable[object]) -> list[Datagram]:
         """Execute the coordinator's actions; return the datagrams to send."""
         datagrams: list[Datagram] = []
         for action in actions:
--- a/cottonhold/emulator/lossy_disk.py
+++ b/cottonhold/emulator/lossy_disk.py
@@ -33,8 +33,8 @@
 from pathlib import Path
 
 STALL_POLL_INTERVAL_S = 0.01
-LEAK_PROBABILITY_AT_POWER_CUT = 0.5
-WHOLE_WRITE_PROBABILITY = 0.5  # chance that an unsynced write reaches the disk completely, if at all
+LEAK_PROBABILITY_AT_POWER_LOSS = 0.5
+COMPLETE_WRITE_PROBABILITY = 0.5  # chance that an unsynced write reaches the disk completely, if at all
 
 
 @dataclass(slots=True, frozen=True)
@@ -136,7 +136,7 @@
                 return
             for node in self.nodes.values():
                 for change in node.unsynced:
-                    if draw.random() < LEAK_PROBABILITY_AT_POWER_CUT:
+                    if draw.random() < LEAK_PROBABILITY_AT_POWER_LOSS:
                         self._make_durable(node, self._torn(change, draw))
             for node, target in self.moves[: draw.randint(0, len(self.moves))]:
                 self.make_move_durable(node, target)
@@ -277,7 +277,7 @@
     @staticmethod
     def _torn(change: Change, draw: random.Random) -> Change:
         """Return a change, or a write of its first part."""
-        if isinstance(change, Truncation) or draw.random() < WHOLE_WRITE_PROBABILITY:
+        if isinstance(change, Truncation) or draw.random() < COMPLETE_WRITE_PROBABILITY:
             return change
         return Write(change.offset, change.content[: draw.randint(0, len(change.content))])
 
--- a/cottonhold/emulator/model_checker.py
+++ b/cottonhold/emulator/model_checker.py
@@ -137,9 +137,9 @@
 
     def step(self, member: int) -> None:
         """Run a step of a machine."""
-        self.carry_out(member, self.running[member].step(self.now))
+        self.execute(member, self.running[member].step(self.now))
 
-    def carry_out(self, member: int, actions: Iterable[Any]) -> None:
+    def execute(self, member: int, actions: Iterable[Any]) -> None:
         """Execute a machine's actions."""
         for action in actions:
             if isinstance(action, SendConsensusMessage):
@@ -196,7 +196,7 @@
     def deliver(self, message: Message) -> None:
         """Deliver a message to a running machine."""
         target, sender, payload = message
-        self.carry_out(target, self.running[target].on_message(self.now, sender, payload))
+        self.execute(target, self.running[target].on_message(self.now, sender, payload))
 
     def complete_write(self, member: int) -> None:
         """Complete the next pending write of a machine's disk."""
@@ -204,7 +204,7 @@
         self.disks[member].pop(write.name, None)
         if write.data:
             self.disks[member][write.name] = write.data
-        self.carry_out(member, self.running[member].on_persisted(self.now, write.token))
+        self.execute(member, self.running[member].on_persisted(self.now, write.token))
 
     def crash(self, member: int, loses_disk: bool) -> None:
         """End a machine's process; its pending writes are lost, and its disk too with `loses_disk`."""
--- a/cottonhold/emulator/models.py
+++ b/cottonhold/emulator/models.py
@@ -66,7 +66,7 @@
         version, _ = self.running[member].last_known(REGISTER)
         value = b"%d" % token
         self.requested[token] = version, value
-        self.carry_out(member, self.running[member].change(self.now, REGISTER, version, value, token))
+        self.execute(member, self.running[member].change(self.now, REGISTER, version, value, token))
 
     def on_action(self, member: int, action: Any) -> None:
         """Check the settled values and the outcomes that a member reports."""
@@ -188,7 +188,7 @@
         self.remaining_moves -= 1
         machine, target = self.running[member], sum(OWNERS) - member
         owned = [key for key in self.keys if machine.ownership_of(self.now, key)]
-        self.carry_out(member, machine.move(self.now, owned, target))
+        self.execute(member, machine.move(self.now, owned, target))
 
     def _start_load(self, member: int, key: bytes) -> None:
         """Start a load of a key at a member that owns it."""
@@ -202,16 +202,16 @@
             self.violation = "a load started and nobody was told that one before it may have run"
         self.open_loads[key] = member, self.remaining_loads
         actions = self.running[member].on_request_opened(self.now, key, self.remaining_loads)
-        self.carry_out(member, actions)
+        self.execute(member, actions)
 
     def end_load(self, key: bytes, member: int, load: int) -> None:
         """End a load at a member."""
-        self.carry_out(member, self.running[member].on_request_ended(self.now, key, load))
+        self.execute(member, self.running[member].on_request_ended(self.now, key, load))
 
     def learn_fence(self, member: int) -> None:
         """Inform a member of who is fenced."""
         self.fence_known_by.add(member)
-        self.carry_out(member, self.running[member].fence(self.now, self.fenced_member, 1))
+        self.execute(member, self.running[member].fence(self.now, self.fenced_member, 1))
 
     def on_crash(self, member: int) -> None:
         """Mark the end of a crashed member's open loads as unknown, and forget its fence."""
--- a/cottonhold/emulator/network.py
+++ b/cottonhold/emulator/network.py
@@ -62,7 +62,7 @@
         self.draw = random.Random(seed)
         self.delay_ms, self.loss = delay_ms, loss
         self.hosts: dict[Address, Host] = {}
-        self.is_cut: Callable[[Address, Address], bool] = lambda sender, receiver: False
+        self.is_disconnected: Callable[[Address, Address], bool] = lambda sender, receiver: False
         self.after_step: Callable[[Host], None] = lambda host: None
         self.sent_datagrams = self.sent_bytes = 0
 
@@ -114,7 +114,7 @@
         """Send a datagram, which may be lost."""
         self.sent_datagrams += 1
         self.sent_bytes += len(data)
-        if self.draw.random() < self.loss or self.is_cut(sender, target):
+        if self.draw.random() < self.loss or self.is_disconnected(sender, target):
             return
         host = self.hosts.get(target)
         if host is not None:
--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -86,7 +86,7 @@
         world = self.world
         if not world.remaining:
             return cores
-        lost_zones = [zone for zone in world.zones_out if world.remaining[zone] <= 0]
+        lost_zones = [zone for zone in world.evacuated_zones if world.remaining[zone] <= 0]
         useful_cores = self.estimator.useful_cores(*lost_zones)
         return cores if useful_cores is None else min(cores, useful_cores)
 
@@ -152,7 +152,7 @@
 
     Attributes:
         remaining: Share of its capacity that the fleet still uses, for each affected zone.
-        zones_out: Zones that are evacuated completely or in part.
+        evacuated_zones: Zones that are evacuated completely or in part.
         known_down: Numbers of servers that the fleet knows to be down.
     """
 
@@ -164,7 +164,7 @@
         self.engines_by_zone = {z: {f"{z}{i}": 1.0 for i in range(setup.engines)} for z in self.zones}
         self.log = RequestLog()
         self.remaining: dict[str, float] = {}
-        self.zones_out: tuple[str, ...] = ()
+        self.evacuated_zones: tuple[str, ...] = ()
         self.known_down: set[int] = set()
         self.budgets: dict[
             str, tuple[float, float]
@@ -209,7 +209,7 @@
     def announce_remaining(self, remaining: Mapping[str, float]) -> None:
         """Set the remaining share of each affected zone's capacity, once the fleet has detected an outage."""
         self.remaining = dict(remaining)
-        self.zones_out = tuple(sorted(remaining))
+        self.evacuated_zones = tuple(sorted(remaining))
         self.known_down = {number for number, server in enumerate(self.servers) if not server.is_up}
 
     def evacuate(self, now: float, zone: str, usable_share: float) -> float:
@@ -256,7 +256,7 @@
         reduced = {zone: share for zone, share in self.remaining.items() if share < 1.0}
         if plan is not None and dict(plan.remaining) == reduced:
             return instance.estimator.serving_zones(instance.home)
-        lost_zones = [zone for zone in self.zones_out if self.remaining[zone] <= 0]
+        lost_zones = [zone for zone in self.evacuated_zones if self.remaining[zone] <= 0]
         return instance.estimator.serving_zones(instance.home, *lost_zones)
 
     def _data_sets(self, home: str) -> dict[str, float]:
--- a/cottonhold/emulator/outages_in_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -89,7 +89,7 @@
         request_id, sent_at = self.attempts.pop(id(request))
         self.fleet.on_attempt_ended(now, request_id, is_served, now - sent_at, work_ms)
 
-    def carry_out(self, now: float, actions: Iterable[Action]) -> None:
+    def execute(self, now: float, actions: Iterable[Action]) -> None:
         """Execute the coordinator's actions: send messages and apply bounds."""
         for action in actions:
             if isinstance(action, SendFleetMessage):
@@ -101,7 +101,7 @@
 
     def on_message(self, sender: int, data: bytes, now: float) -> None:
         """Process a message from another instance."""
-        self.carry_out(now, self.fleet.on_message(now, sender, data))
+        self.execute(now, self.fleet.on_message(now, sender, data))
 
 
 class ServiceWorld(OutageWorld):
@@ -152,5 +152,5 @@
         instance.send(now)
         if now < STEP_MS * 2:
             instance.fleet.set_members(now, range(1, len(self.instances) + 1))
-        instance.carry_out(now, instance.fleet.step(now))
+        instance.execute(now, instance.fleet.step(now))
         self.call_at(now + STEP_MS / 2, partial(self._step, instance))
--- a/cottonhold/emulator/overload.py
+++ b/cottonhold/emulator/overload.py
@@ -220,7 +220,7 @@
         self.instances: list[Instance] = [
             self.make_instance(number, make_policy(number)) for number in range(len(self.weights))
         ]
-        self.is_cut: Callable[[int, int], bool] = lambda sender, target: False
+        self.is_disconnected: Callable[[int, int], bool] = lambda sender, target: False
         self.claim_factors: dict[int, float] = {}  # by instance: factor by which it overstates its demand
         self.sent_bytes = 0
         self.log: list[LogEntry] = []
@@ -309,7 +309,7 @@
         live_members = range(1, len(self.instances) + 1)
         for member, data in instance.demand.step(now, live_members, self.capacity()):
             self.sent_bytes += len(data)
-            if not self.is_cut(instance.number, member - 1) and self.draw.random() >= self.loss:
+            if not self.is_disconnected(instance.number, member - 1) and self.draw.random() >= self.loss:
                 self._send_demand_report(now, self._claim(instance, data), self.instances[member - 1])
         self.call_at(now + STEP_MS, partial(self._step, instance))
 
--- a/cottonhold/emulator/process_fleet.py
+++ b/cottonhold/emulator/process_fleet.py
@@ -79,7 +79,7 @@
 
 
 class ProcessFleet:
-    """Stand-in engines in a thread, and instances as processes."""
+    """Emulated engines in a thread, and instances as processes."""
 
     def __init__(self, folder: Path, count: int) -> None:
         self.folder, self.count = folder, count
@@ -96,7 +96,7 @@
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
 
     def run(self, work: Any) -> Any:
-        """Run a coroutine in the loop of the stand-ins and return its result."""
+        """Run a coroutine in the emulated engines' event loop and return its result."""
         return asyncio.run_coroutine_threadsafe(work, self.loop).result(30)
 
     def start(self, number: int) -> None:
@@ -136,7 +136,7 @@
         process.wait()
 
     def stop(self) -> None:
-        """Kill all instances and end the stand-ins."""
+        """Kill all instances and stop the emulated engines."""
         for number in list(self.processes):
             self.kill(number)
         for engine in self.engines.values():
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -76,8 +76,8 @@
         # As in the scheduler, an instance below its share of the capacity has a higher limit. Otherwise the
         # instances with requests at a full engine would keep it, as they are the first to see a free place.
         fair_share = MAX_IN_FLIGHT * len(world.engines) / len(world.running)
-        own = sum(engine.in_flight.get(self.number, 0) for engine in world.engines)
-        limit = 2 * MAX_IN_FLIGHT if own + 1 <= fair_share else MAX_IN_FLIGHT
+        own_count = sum(engine.in_flight.get(self.number, 0) for engine in world.engines)
+        limit = 2 * MAX_IN_FLIGHT if own_count + 1 <= fair_share else MAX_IN_FLIGHT
         work_ms = world.class_of(self.queue[0][2]).mean_work_ms
         bounded = self.credits.bounds.work_rates
         best, least_used = None, (limit, 0.0)
@@ -92,7 +92,7 @@
                 best, least_used = number, used
         return best
 
-    def carry_out(self, now: float, actions: Iterable[object]) -> None:
+    def execute(self, now: float, actions: Iterable[object]) -> None:
         """Execute the coordinator's actions."""
         for action in actions:
             match action:
@@ -204,7 +204,7 @@
             instance.survey(now)
             self._check_engines(now, instance)
         instance.expire(now)
-        instance.carry_out(now, fleet.step(now))
+        instance.execute(now, fleet.step(now))
         if fleet.slow_start is None:
             instance.credits.bounds = self._scheduler_bounds(now)
         instance.send(now)
@@ -250,7 +250,7 @@
         def deliver(now: float) -> None:
             instance = self.running[target]
             if instance is not None:
-                instance.carry_out(now, instance.fleet.on_message(now, sender + 1, data))
+                instance.execute(now, instance.fleet.on_message(now, sender + 1, data))
 
         self.call_at(now + self.delay_ms, deliver)
 
--- a/cottonhold/emulator/replacement_registers.py
+++ b/cottonhold/emulator/replacement_registers.py
@@ -65,14 +65,14 @@
         elif not fleet.has_majority(host) or draw.random() < faults.loss * faults.loss * 2:
             fleet.call_at(fleet.now + RETRY_INTERVAL_MS, lambda: self._attempt(pending))
         else:
-            self._carry_out(pending)
+            self._execute(pending)
 
-    def _carry_out(self, pending: PendingOperation) -> None:
+    def _execute(self, pending: PendingOperation) -> None:
         fleet, faults, draw = self.fleet, self.fleet.network_faults, self.fleet.draw
         outcome = self._apply(pending.operation)
         if draw.random() < faults.duplication:
             again_at = fleet.now + 3 * faults.max_delay_ms * draw.random()
-            fleet.call_at(again_at, lambda: self._apply_again(pending.operation))
+            fleet.call_at(again_at, lambda: self._apply_duplicate(pending.operation))
         if draw.random() < faults.loss / 30:
             # The message with the outcome is lost.
             timeout_at = pending.requested_at + OPERATION_TIMEOUT_MS
@@ -81,7 +81,7 @@
             received_at = fleet.now + self._draw_delay_ms()
             fleet.call_at(received_at, lambda: self._deliver_outcome(pending, outcome))
 
-    def _apply_again(self, operation: Operation) -> None:
+    def _apply_duplicate(self, operation: Operation) -> None:
         self._apply(operation)
 
     def _deliver_outcome(self, pending: PendingOperation, outcome: Outcome) -> None:
--- a/cottonhold/emulator/rolling_replacement.py
+++ b/cottonhold/emulator/rolling_replacement.py
@@ -96,13 +96,13 @@
         host: str,
         requested_by: str,
         *machines: MachineRequest,
-        max_out: int = 1,
+        max_concurrent: int = 1,
         max_zones: int = 1,
     ) -> None:
         """Request a replacement at a host."""
         coordinator = self.hosts[host].coordinator
         assert coordinator is not None
-        coordinator.request(self.now, ReplacementRequest(requested_by, machines, max_out, max_zones))
+        coordinator.request(self.now, ReplacementRequest(requested_by, machines, max_concurrent, max_zones))
 
     def place(self, host: Host, new: str) -> None:
         """Start a new machine, with an empty folder, in the place of an old one."""
--- a/cottonhold/emulator/rolling_replacement_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -54,12 +54,12 @@
 
 
 def start_replacement(
-    seed: int, count: int = 8, max_out: int = 2, network_faults: NetworkFaults | None = None
+    seed: int, count: int = 8, max_concurrent: int = 2, network_faults: NetworkFaults | None = None
 ) -> ReplacementWorld:
     """Return a fleet in which the replacement of all machines was requested."""
     world = ReplacementWorld(seed, count, network_faults)
     world.run(2000.0 + seed % 100)
-    world.request("d0", "ann", *machine_requests(count), max_out=max_out)
+    world.request("d0", "ann", *machine_requests(count), max_concurrent=max_concurrent)
     return world
 
 
@@ -68,10 +68,10 @@
     world.run_until(lambda: bool(world.answers), 30_000.0)
     if any(answer.rejection for answer in world.answers):
         # The request could not be answered in time, so the client retries.
-        max_out = world.answers[0].request.max_concurrent
+        max_concurrent = world.answers[0].request.max_concurrent
         world.answers.clear()
         retry_host = "d1" if world.hosts["d1"].is_up else "d2"
-        world.request(retry_host, "ann", *machine_requests(count), max_out=max_out)
+        world.request(retry_host, "ann", *machine_requests(count), max_concurrent=max_concurrent)
     names = [f"d{i}" for i in range(count)]
     if not world.run_until(lambda: world.are_over(*names), MAX_RUN_MS):
         unfinished = {n: r.step.name if (r := world.record(n)) else "unasked" for n in names}
@@ -241,7 +241,7 @@
         capacity_check=capacity_limit(8.0),
     )
     world.run(2000.0)
-    world.request("d0", "ann", *machine_requests(), max_out=2, max_zones=3)
+    world.request("d0", "ann", *machine_requests(), max_concurrent=2, max_zones=3)
 
     def is_overdue() -> bool:
         record = world.record(WATCHED_MACHINE)
@@ -330,7 +330,7 @@
     if world.plan().state is not PlanState.OPEN:
         world.invariants.breach("still locked")
     if not world.plan().first_machine:
-        world.request("d5", "ann", *machine_requests(), max_out=2)
+        world.request("d5", "ann", *machine_requests(), max_concurrent=2)
     return finish(world)
 
 
@@ -338,7 +338,7 @@
     """Permit four of five machines to be out, which the voters' majority has to prevent."""
     world = ReplacementWorld(seed, 5)
     world.run(2000.0)
-    world.request("d0", "ann", *machine_requests(5), max_out=4, max_zones=3)
+    world.request("d0", "ann", *machine_requests(5), max_concurrent=4, max_zones=3)
     return finish(world, 5)
 
 
@@ -346,7 +346,7 @@
     """Let new machines arrive with an empty folder and without a vote for 6 s."""
     world = ReplacementWorld(seed, voting_delay_ms=6000.0)
     world.run(2000.0)
-    world.request("d0", "ann", *machine_requests(), max_out=2)
+    world.request("d0", "ann", *machine_requests(), max_concurrent=2)
     return finish(world)
 
 
--- a/cottonhold/emulator/serving.py
+++ b/cottonhold/emulator/serving.py
@@ -77,9 +77,10 @@
 
 
 def run_until_signal(listen: str, serve: Callable[[str, int, asyncio.Event], Awaitable[None]]) -> int:
-    """Run a stand-in at `host:port` until SIGTERM or SIGINT sets the event; return the exit code.
+    """Run an emulated server at `host:port` until SIGTERM or SIGINT sets the event.
 
-    It is 1 if the address can't be used.
+    Returns:
+        The exit code: 1 if the address cannot be used, otherwise 0.
     """
     host, _, port = listen.rpartition(":")
 
--- a/tests/config/test_bad_relay.py
+++ b/tests/config/test_bad_relay.py
@@ -20,7 +20,7 @@
 from cottonhold.observe.log import Log
 from cottonhold.scheduler.scheduler import Scheduler
 from tests.node.test_small_parts import CONFIG
-from tests.support.drawn_cases import ODD, changed, places, untroubled
+from tests.support.drawn_cases import ODD, has_no_faults, value_paths, with_value
 from tests.support.scenario import World
 
 USABLE = {**CONFIG, "listen": "127.0.0.1:80"}
@@ -28,19 +28,19 @@
 
 
 @settings(max_examples=1500)
-@given(st.sampled_from(places(USABLE)), VALUES)
+@given(st.sampled_from(value_paths(USABLE)), VALUES)
 def test_a_drawn_configuration_is_refused_or_a_dispatcher_works_under_it(
     path: tuple[Any, ...], value: Any
 ) -> None:
     """It can't be used, or a dispatcher under it decides without a fault."""
     try:
-        config = decode(changed(USABLE, path, value), {}, Counters())
+        config = decode(with_value(USABLE, path, value), {}, Counters())
     except (WireError, ValueError, TypeError):  # what load gives out as ConfigError
         return
     world = World(config.settings)
     world.run("c1 query lookup r1" if "lookup" in world.gateway.decoder.class_indexes else "")
     world.wait(50.0)
-    assert untroubled(world), world.log
+    assert has_no_faults(world), world.log
     Scheduler(config.settings, 1)
 
 
@@ -50,8 +50,8 @@
     "not UTF-8": b'{"name":"\xff\xfe"}',
     "no object": b"[]",
     "deep": b"[" * 100000,
-    "NaN": orjson.dumps(changed(USABLE, ("settings", "tick"), 12345)).replace(b"12345", b"NaN"),
-    "Infinity": orjson.dumps(changed(USABLE, ("settings", "tick"), 12345)).replace(b"12345", b"1e999"),
+    "NaN": orjson.dumps(with_value(USABLE, ("settings", "tick"), 12345)).replace(b"12345", b"NaN"),
+    "Infinity": orjson.dumps(with_value(USABLE, ("settings", "tick"), 12345)).replace(b"12345", b"1e999"),
     "huge": b" " * (64 << 20),
 }
 
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("key", NOT_POSITIVE)
 def test_a_class_without_a_positive_objective_and_deadline_is_refused(key: str, value: Any) -> None:
     with pytest.raises(WireError, match=key):
-        decode(changed(USABLE, ("settings", "classes", 0, key), value), {}, Counters())
+        decode(with_value(USABLE, ("settings", "classes", 0, key), value), {}, Counters())
 
 
 def write_usable_config(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
@@ -112,7 +112,7 @@
         path.write_bytes(content)
         dispatcher.reload()
         assert dispatcher.config is config and dispatcher.gateway.events == events
-        path.write_bytes(orjson.dumps(changed(USABLE, ("settings", "classes", 0, "aim"), 1500.0)))
+        path.write_bytes(orjson.dumps(with_value(USABLE, ("settings", "classes", 0, "aim"), 1500.0)))
         dispatcher.reload()
         assert dispatcher.config.settings.classes[0].latency_objective_ms == 1500.0
 
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -47,7 +47,7 @@
 from tests.conformance.golden import RECORD
 from tests.support.member_network import Net
 
-MEMBER, LIFE, VERSION = 0x0102030405060708, 0x80000011, 0x22
+MEMBER, INCARNATION, VERSION = 0x0102030405060708, 0x80000011, 0x22
 BALLOT = Ballot(7, 0x1122334455667788)
 STATE = AcceptedState(Ballot(6, 0x99), 5, b"a value", (0xAA, 3))
 IDENTITY = bytes(range(16))
@@ -58,7 +58,7 @@
 def datagram(kind: MessageKind, sequence: int, updates: bytes = b"", keys: KeyRing | None = None) -> bytes:
     """Return the first datagram of a sender's incarnation."""
     message = codec.Message(kind, MEMBER, sequence, 0x42)
-    return Codec(MEMBER, LIFE, keys).encode(message, updates)
+    return Codec(MEMBER, INCARNATION, keys).encode(message, updates)
 
 
 def updates() -> bytes:
@@ -78,7 +78,7 @@
     """Return the zone reports of two instances."""
     failing = zone_messages.ZoneReport(zone_messages.Vote.EVACUATE, 1, 2, 300, 0.25, True, True)
     healthy = zone_messages.ZoneReport(zone_messages.Vote.SERVE, 9, 0, 0, 1.0)
-    first = zone_messages.MemberReport(MEMBER, LIFE, VERSION, 70_000, 0x33, {9: failing, 4: healthy})
+    first = zone_messages.MemberReport(MEMBER, INCARNATION, VERSION, 70_000, 0x33, {9: failing, 4: healthy})
     return zone_messages.encode_zone_reports([first, zone_messages.MemberReport(2, 3, 4, 5, 6, {})], 200)
 
 
@@ -104,7 +104,7 @@
     busy = ReportedDemand({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
     return demand_messages.encode_demand_reports(
         [
-            demand_messages.DemandReport(MEMBER, LIFE, VERSION, busy),
+            demand_messages.DemandReport(MEMBER, INCARNATION, VERSION, busy),
             demand_messages.DemandReport(2, 3, 4, ReportedDemand({})),
         ]
     )
@@ -119,7 +119,7 @@
     )
     memory = recovery_messages.MemoryState.STALE
     return recovery_messages.encode(
-        recovery_messages.Presence(9, 12, 11 << 32 | 5, LIFE, 4321.9, memory, True, pairs)
+        recovery_messages.Presence(9, 12, 11 << 32 | 5, INCARNATION, 4321.9, memory, True, pairs)
     )
 
 
@@ -129,8 +129,8 @@
         warmup_messages.engine_number("e1"): warmup_messages.EngineObservation(1.5, 0.25, 0.5, 1250.0),
         warmup_messages.engine_number("e2"): warmup_messages.EngineObservation(0.0, 0.0, 1.0, 0.0),
     }
-    word = warmup_messages.WarmupReport(MEMBER, LIFE, VERSION, rows)
-    return warmup_messages.encode_warmup_reports([word, warmup_messages.WarmupReport(2, 3, 4, {})])
+    report = warmup_messages.WarmupReport(MEMBER, INCARNATION, VERSION, rows)
+    return warmup_messages.encode_warmup_reports([report, warmup_messages.WarmupReport(2, 3, 4, {})])
 
 
 def site() -> site_messages.SiteReport:
@@ -142,7 +142,9 @@
         4: site_messages.ZoneObservation(31.0, 0.25, 0),
     }
     sets = {site_messages.data_set_number("7"): 0.6, site_messages.data_set_number("8"): 0.3999}
-    return site_messages.SiteReport(MEMBER, LIFE, VERSION, 9, 187.5, {40: 3.25, 41: 0.5}, sets, zones, 1.75)
+    return site_messages.SiteReport(
+        MEMBER, INCARNATION, VERSION, 9, 187.5, {40: 3.25, 41: 0.5}, sets, zones, 1.75
+    )
 
 
 def sites() -> bytes:
@@ -169,7 +171,9 @@
         7: engine_drain_messages.DrainedEngineRow(3, 70_000, True),
         8: engine_drain_messages.DrainedEngineRow(4, 0),
     }
-    return engine_drain_messages.encode_report(engine_drain_messages.DrainReport(MEMBER, LIFE, VERSION, rows))
+    return engine_drain_messages.encode_report(
+        engine_drain_messages.DrainReport(MEMBER, INCARNATION, VERSION, rows)
+    )
 
 
 def handed_request(named: bool) -> bytes:
@@ -202,7 +206,7 @@
             cores_tenths=80,
             requested_cores_tenths=160,
             arrived_cores_tenths=150,
-            incarnation=LIFE,
+            incarnation=INCARNATION,
             reason=plan.StepReason.TIMED_OUT,
             replacement="n1b",
             next_machine="n2",
@@ -252,21 +256,21 @@
 
 def pin_records() -> bytes:
     """Return both members' records at each step of a key's move from one to the other."""
-    found = dict[bytes, None]()
+    states = dict[bytes, None]()
 
     def make(member: int, life: int, disk: dict[str, bytes]) -> KeyOwnership:
         return KeyOwnership(member, [1, 2], [1], 0.0, life, disk, OwnershipSettings(is_enabled=True), True)
 
     def watch() -> None:
         for disk in net.disks.values():
-            found.update({f"{name}=".encode() + data: None for name, data in disk.items() if "pin/" in name})
+            states.update({f"{name}=".encode() + data: None for name, data in disk.items() if "pin/" in name})
 
     net = Net([1, 2], make)
     net.after_event = watch
     net.run(1000.0)
     net.act(1, net.running[1].move(net.now, [b"pinned-1"], 2))
     net.run(1000.0)
-    return b";".join(found)
+    return b";".join(states)
 
 
 def engine_records() -> bytes:
@@ -274,14 +278,14 @@
     names = ConfiguredNames(("a", "b"), ("std", "big"))
     info = Engine("e1", zone=1, machine_type=1, cell=3, size=2.5)
     change = EngineListChange((info,), {"e1": Address("10.1.2.3", 4500)}, True)
-    taken = cached_engines.EngineCache({}, names).apply(change)
-    return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
+    records_to_store = cached_engines.EngineCache({}, names).apply(change)
+    return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in records_to_store)
 
 
 def drain_records() -> bytes:
     """Return the records of a drained engine."""
-    taken = engine_drain.DrainRecords({}).drain("e1")
-    return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
+    records_to_store = engine_drain.DrainRecords({}).drain("e1")
+    return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in records_to_store)
 
 
 def kinds() -> bytes:
@@ -371,7 +375,7 @@
     ),
     "forwarding answer": lambda: forwarding.encode(ANSWERED),
     "forwarding got": lambda: forwarding.encode(forwarding.AnswerAck(9, True, 0x3)),
-    "forwarding number": lambda: forwarding.request_number(LIFE, 9).to_bytes(8, "big"),
+    "forwarding number": lambda: forwarding.request_number(INCARNATION, 9).to_bytes(8, "big"),
     "forwarding ends": lambda: bytes(int(end) for end in forwarding.ForwardResult),
     "forwarding states": lambda: bytes(int(state) for state in forwarding.RequestState),
     "forwarded request": lambda: handed_request(False),
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -26,7 +26,7 @@
 from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.log import BURST_LINES, Log
 from cottonhold.scheduler.events import EngineListFailed
-from tests.support.drawn_cases import CASES, untroubled
+from tests.support.drawn_cases import CASES, has_no_faults
 from tests.support.scenario import LOGIN, FakeClock, World, packet
 
 MAX_CPU_SECONDS = 2.0  # processor time for one statement; a quadratic reader takes over 10 s
@@ -61,7 +61,7 @@
     for at in range(0, len(data), pieces):
         session.receive(data[at : at + pieces])
         world.wait(0)
-    assert len(session.buffer) <= MAX_PACKET_BYTES + 4 and untroubled(world)
+    assert len(session.buffer) <= MAX_PACKET_BYTES + 4 and has_no_faults(world)
     session.on_closed()
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
 
@@ -134,10 +134,10 @@
         connection.receive(data[at : at + pieces])
         world.wait(0)
     world.wait(50.0)
-    assert untroubled(world) and len(world.clients["c2"].received) <= 1
+    assert has_no_faults(world) and len(world.clients["c2"].received) <= 1
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
     world.wait(6000.0)
-    assert untroubled(world) and len(world.clients["c2"].received) == 1, world.log
+    assert has_no_faults(world) and len(world.clients["c2"].received) == 1, world.log
 
 
 @CASES
@@ -164,7 +164,7 @@
     world.gateway.push(message or EngineListFailed())
     world.wait(50.0)
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
-    assert untroubled(world), world.log
+    assert has_no_faults(world), world.log
 
 
 CALL = st.one_of(
--- a/tests/discovery/test_consul_parts.py
+++ b/tests/discovery/test_consul_parts.py
@@ -18,7 +18,7 @@
 from cottonhold.discovery.consul.watch import ServiceWatch, WatchSettings
 from cottonhold.discovery.model import Address, ConfiguredNames, ServiceStatus, SourceLost, SourceReport
 from cottonhold.message_validation import WireError
-from tests.support.drawn_cases import ODD, changed, places
+from tests.support.drawn_cases import ODD, value_paths, with_value
 
 NAMES = ConfiguredNames(("z0", "z1"), ("std", "big"))
 SERF = {"CheckID": "serfHealth", "Status": "passing", "Output": "Agent alive"}
@@ -236,15 +236,18 @@
 
 @settings(max_examples=500)
 @given(
-    st.sampled_from(places(ENTRY)), st.one_of(ODD, st.just(...), st.sampled_from(["²", "9" * 5000, "nan"]))
+    st.sampled_from(value_paths(ENTRY)),
+    st.one_of(ODD, st.just(...), st.sampled_from(["²", "9" * 5000, "nan"])),
 )
 def test_an_entry_of_odd_values_affects_only_itself(path: tuple[Any, ...], value: Any) -> None:
     odd, malformed = make_decoder()
-    told = odd.decode_health_response(body(changed(ENTRY, path, value), entry("e2"))).observations
+    told = odd.decode_health_response(body(with_value(ENTRY, path, value), entry("e2"))).observations
     assert "e2" in [o.id for o in told] and len(malformed) <= 1
     catalogue = {"Node": "n", "ServiceID": "e1"}
     with contextlib.suppress(WireError):
-        odd.decode_catalog_response(body(changed(catalogue, (("Node", "ServiceID")[len(path) % 2],), value)))
+        odd.decode_catalog_response(
+            body(with_value(catalogue, (("Node", "ServiceID")[len(path) % 2],), value))
+        )
 
 
 def test_a_header_with_a_line_end_is_refused() -> None:
--- a/tests/discovery/test_malformed_lists.py
+++ b/tests/discovery/test_malformed_lists.py
@@ -13,7 +13,7 @@
 from cottonhold.discovery.model import ConfiguredNames, PublishChange, SourceGuard, SourceReport
 from cottonhold.message_validation import WireError
 from cottonhold.observe.counters import Counters
-from tests.support.drawn_cases import CASES, ODD, untroubled
+from tests.support.drawn_cases import CASES, ODD, has_no_faults
 from tests.support.scenario import World
 
 ENTRY: dict[str, Any] = {
@@ -75,9 +75,9 @@
     world.wait(50.0)
     world.run("c2 query lookup r2")
     world.wait(50.0)
-    assert untroubled(world), world.log
+    assert has_no_faults(world), world.log
     world.wait(6000.0)
-    assert untroubled(world) and len(world.clients["c2"].received) == 1, world.log
+    assert has_no_faults(world) and len(world.clients["c2"].received) == 1, world.log
 
 
 def test_an_unreadable_entry_affects_only_itself() -> None:
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -209,7 +209,7 @@
 
 def test_a_partitioned_fleet_has_no_threshold_and_still_serves() -> None:
     world = Overload(2, lambda now: 900.0, SKEW, lambda i: SharedThreshold())
-    world.is_cut = lambda a, b: (a < 3) != (b < 3)
+    world.is_disconnected = lambda a, b: (a < 3) != (b < 3)
     world.run(12_000.0)
     assert all(instance.demand.threshold is None for instance in world.instances)
     served, best = world.utility(5000.0, 12_000.0)
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -47,12 +47,12 @@
 
 def test_in_flight_and_broken_may_have_run() -> None:
     world = settled(5)
-    world.first(1, LOAD, lasts=1500.0)
+    world.request_load(1, LOAD, duration_ms=1500.0)
     early = [client_retries(world, n, LOAD) for n in (1, 3)]
     world.run(200.0)
     assert [x.answer for x in early] == ["MAY_HAVE_RUN", "MAY_HAVE_RUN"]
     broken = local_loads.load_identity("orders", "8", b"")
-    world.first(1, broken, lasts=500.0, ends=False)
+    world.request_load(1, broken, duration_ms=500.0, can_succeed=False)
     world.run(1600.0)
     late = [client_retries(world, n, broken) for n in (1, 0)]
     world.run(300.0)
@@ -62,8 +62,8 @@
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_after_a_power_loss_it_may_have_run_at_every_instance(loss: float) -> None:
     world = settled(6)
-    world.loss = world.again = loss
-    world.first(1, LOAD, lasts=1500.0)
+    world.loss = world.duplicate_chance = loss
+    world.request_load(1, LOAD, duration_ms=1500.0)
     world.clients[0].attempts = 6
     world.run(500.0)
     world.kill(*range(6))
@@ -79,7 +79,7 @@
 
 def test_a_retry_waits_for_the_owner_and_else_is_not_known_yet() -> None:
     world = settled(5)
-    world.first(1, LOAD, lasts=1900.0)
+    world.request_load(1, LOAD, duration_ms=1900.0)
     world.clients[0].attempts = 6
     world.kill(1)
     patient = client_retries(world, 2, LOAD)
@@ -104,7 +104,7 @@
 
 def test_a_postponed_retry_is_not_sent_when_its_owner_is_proven_silent() -> None:
     world = settled(5)
-    world.first(1, LOAD, lasts=1900.0)
+    world.request_load(1, LOAD, duration_ms=1900.0)
     world.clients[0].attempts = 6
     world.kill(1)
     answers = []
@@ -126,7 +126,7 @@
     world.kill(1)
     world.start(1)
     world.run(3000.0)
-    world.first(1, LOAD, lasts=1900.0)
+    world.request_load(1, LOAD, duration_ms=1900.0)
     world.clients[0].attempts = 6
     world.run(300.0)
     world.kill(*range(5))
@@ -147,7 +147,7 @@
     world.run(3000.0)
     copied = copy.deepcopy(world.folders[1])
     world.run(SURVEY.checkpoint_interval_ms + 2 * SURVEY.idle_interval_ms)
-    world.first(1, LOAD, lasts=1900.0)
+    world.request_load(1, LOAD, duration_ms=1900.0)
     world.clients[0].attempts = 6
     world.run(300.0)
     world.kill(*range(5))
@@ -160,7 +160,7 @@
 
 def test_half_of_a_fleet_settles_nothing_as_never_sent() -> None:
     world = settled(6)
-    world.first(5, LOAD, lasts=1900.0)
+    world.request_load(5, LOAD, duration_ms=1900.0)
     world.clients[0].attempts = 6
     world.kill(*range(6))
     world.start(0, 1, 2)
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_of_two_concurrent_retries_one_is_sent(seed: int) -> None:
     world = settled(4, seed=seed)
-    world.loss, world.again = 0.2, 0.2
+    world.loss, world.duplicate_chance = 0.2, 0.2
     clients = []
     for number in world.draw.sample(range(4), 3):
         clients.append(client_retries(world, number, LOAD))
@@ -311,7 +311,7 @@
 
 def test_open_loads_are_announced_to_the_others() -> None:
     world = settled(4)
-    world.first(1, LOAD, lasts=1500.0)
+    world.request_load(1, LOAD, duration_ms=1500.0)
     world.clients[0].attempts = 6
     world.kill(1)
     world.start(1)
@@ -323,7 +323,7 @@
 def run_history(count: int, seed: int, faults: list[tuple[int, int, int]], loss: float) -> World:
     """Run loads throughout a sequence of faults, then start and connect all instances again."""
     world = settled(count, seed, loss=0.0)
-    world.loss, world.again = loss, loss / 2
+    world.loss, world.duplicate_chance = loss, loss / 2
     draw = random.Random(seed)
     stop = world.now + 14_000.0
 
@@ -332,7 +332,7 @@
         if live:
             lasts = draw.uniform(50.0, 1.5 * LONGEST_DEADLINE_MS)
             name = local_loads.load_identity("orders", str(next(world.names)), b"")
-            world.first(draw.choice(live), name, lasts, ends=draw.random() < 0.8)
+            world.request_load(draw.choice(live), name, lasts, can_succeed=draw.random() < 0.8)
         if world.now < stop:
             world.at(world.now + draw.uniform(20.0, 300.0), send_load)
 
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -101,7 +101,7 @@
     numbers, expected = CASES[case]
     world = settled(6)
     assert world.verdicts() == {OUTAGE.NOTHING}
-    world.loss = world.again = loss
+    world.loss = world.duplicate_chance = loss
     restart_after_power_loss(world, numbers)
     world.run(SURVEY.settle_ms)
     assert {n: world.nodes[n].survey.view.verdict for n in expected} == expected
@@ -109,7 +109,7 @@
         assert (
             len({(n.survey.view.restarted, n.survey.view.restarted_zones) for n in world.live_nodes()}) == 1
         )
-    world.loss = world.again = 0.0
+    world.loss = world.duplicate_chance = 0.0
     world.run(SURVEY.recent_start_ms + 2000.0)
     assert world.verdicts() == {OUTAGE.NOTHING}
 
@@ -283,7 +283,7 @@
 
 
 def test_restarts_are_not_taken_for_duplicates() -> None:
-    world = settled(5, again=0.3)
+    world = settled(5, duplicate_chance=0.3)
     for _ in range(6):
         restart_after_power_loss(world, [2])
         world.run(1500.0)
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -122,7 +122,7 @@
 def test_a_partitioned_fleet_evacuates_by_local_evidence_and_converges_after_it() -> None:
     def fault(world: FleetWorld, is_active: bool) -> None:
         set_zone(is_dead=True)(world, is_active)
-        world.network.is_cut = lambda a, b: is_active and (a.port <= 3) != (b.port <= 3)
+        world.network.is_disconnected = lambda a, b: is_active and (a.port <= 3) != (b.port <= 3)
 
     world = play(fault, end=25_000.0)
     assert len(evacuated_at(world)) == 6 and set(world.phases("a").values()) == {"in"}
--- a/tests/membership/test_duties.py
+++ b/tests/membership/test_duties.py
@@ -200,7 +200,7 @@
     site.claim(1, 2)
     site.run(3000)
     minority = {site.addresses[1], site.addresses[2]}
-    site.network.is_cut = lambda a, b: (a in minority) is not (b in minority)
+    site.network.is_disconnected = lambda a, b: (a in minority) is not (b in minority)
     site.claim(1, 2, 4)  # each half believes that it is its own
     site.run(3000)
     assert site.holder(1) == 4
@@ -254,9 +254,9 @@
             site.start(draw.choice([n for n in range(1, 6) if n not in running]), draw.uniform(-1e6, 1e6))
         elif kind == "split":
             half = set(draw.sample(sorted(site.numbers, key=str), 2))
-            site.network.is_cut = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
+            site.network.is_disconnected = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
         else:
-            site.network.is_cut = lambda a, b: False
+            site.network.is_disconnected = lambda a, b: False
             site.network.loss = draw.choice([0.0, 0.1, 0.4])
         site.run(draw.uniform(50, 1500))
 
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -172,19 +172,19 @@
 def test_a_partition_of_two_and_three_heals() -> None:
     fleet = run_until_agreed()
     half = set(fleet.addresses[:2])
-    fleet.network.is_cut = lambda a, b: (a in half) is not (b in half)
+    fleet.network.is_disconnected = lambda a, b: (a in half) is not (b in half)
     fleet.run(20_000)
     assert (
         len(fleet.instances[0].swim.live_members()) == 2 and len(fleet.instances[4].swim.live_members()) == 3
     )
-    fleet.network.is_cut = lambda a, b: False
+    fleet.network.is_disconnected = lambda a, b: False
     fleet.until_agreed(15_000)
 
 
 def test_a_one_way_link_is_bridged_by_indirect_pings() -> None:
     fleet = run_until_agreed()
     deaf, heard = fleet.addresses[0], fleet.addresses[1]
-    fleet.network.is_cut = lambda a, b: a == heard and b == deaf
+    fleet.network.is_disconnected = lambda a, b: a == heard and b == deaf
     fleet.run(60_000)
     assert fleet.deaths() == 0
 
@@ -263,11 +263,11 @@
             fleet.network.loss = draw.choice([0.0, 0.1, 0.3])
         elif kind == "split":
             half = set(draw.sample(fleet.addresses, 2))
-            fleet.network.is_cut = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
+            fleet.network.is_disconnected = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
         else:
-            fleet.network.is_cut, fleet.network.loss = lambda a, b: False, 0.0
+            fleet.network.is_disconnected, fleet.network.loss = lambda a, b: False, 0.0
         fleet.run(draw.uniform(200, 4000))
-    fleet.network.is_cut, fleet.network.loss = lambda a, b: False, 0.0
+    fleet.network.is_disconnected, fleet.network.loss = lambda a, b: False, 0.0
     fleet.run(6000)  # whoever was stopped runs again
     return fleet
 
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -221,20 +221,20 @@
         """Return the largest load of any engine in any window, as a share of the load that overloads it."""
         worst = 0.0
         for sends in self.sent.values():
-            held = list[tuple[float, float]]()
-            for one in sends:
-                now = one.at
+            in_window = list[tuple[float, float]]()
+            for sent in sends:
+                now = sent.at
                 if now < COLD_MS:
                     continue
-                held = [(at, weight) for at, weight in held if at > now - self.site.overload_window_ms]
-                held.append((now, weigh(one) / self.site.mean_work))
+                in_window = [(at, w) for at, w in in_window if at > now - self.site.overload_window_ms]
+                in_window.append((now, weigh(sent) / self.site.mean_work))
                 allowed = (
                     self.site.overload_factor
                     * self.capacity(now)
                     * self.site.overload_window_ms
                     / self.site.mean_work
                 )
-                worst = max(worst, sum(weight for _, weight in held) / overload_limit(allowed))
+                worst = max(worst, sum(weight for _, weight in in_window) / overload_limit(allowed))
         return worst
 
     def max_load_by_work(self) -> float:
@@ -247,9 +247,9 @@
 
     def used_share(self, until: float) -> float:
         """Return the share of the budget of all engines together that was used, in work."""
-        got = sum(sent.work for sends in self.sent.values() for sent in sends if sent.at >= COLD_MS)
+        used = sum(sent.work for sends in self.sent.values() for sent in sends if sent.at >= COLD_MS)
         span = until - COLD_MS
-        return got / (self.site.overload_factor * self.capacity(COLD_MS) * span * len(self.names))
+        return used / (self.site.overload_factor * self.capacity(COLD_MS) * span * len(self.names))
 
 
 def overload_limit(allowed: float) -> float:
--- a/tests/support/drawn_cases.py
+++ b/tests/support/drawn_cases.py
@@ -23,18 +23,18 @@
 )
 
 
-def untroubled(world: World) -> bool:
+def has_no_faults(world: World) -> bool:
     """Return whether no unexpected exception was caught."""
     return not any(world.counters.counts[name] for name in FAULTS)
 
 
-def places(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def value_paths(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
     """Return the paths to all values in a JSON object."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [path] * bool(path) + [nested for key, part in inner for nested in places(part, (*path, key))]
+    return [path] * bool(path) + [nested for key, part in inner for nested in value_paths(part, (*path, key))]
 
 
-def changed(source: Any, path: tuple[Any, ...], value: Any) -> Any:
+def with_value(source: Any, path: tuple[Any, ...], value: Any) -> Any:
     """Return a copy with another value at a path; ... removes the value."""
     copied = copy.deepcopy(source)
     part = copied
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -79,7 +79,7 @@
         self.request_ids: list[bytes] = []
         self.verbs: list[bytes] = []
 
-    def turn(self) -> None:
+    def poll(self) -> None:
         """Accept connections, and read requests and health checks."""
         try:
             while True:
@@ -137,15 +137,15 @@
         self.clients.append(client)
         return client
 
-    async def turn(self) -> None:
+    async def run_once(self) -> None:
         self.world.wait(0)
         for engine in self.engines:
-            engine.turn()
+            engine.poll()
         await asyncio.sleep(0)
 
     async def until(self, happened: Callable[[], bool]) -> None:
         while not happened():
-            await self.turn()
+            await self.run_once()
 
     def request_ids(self) -> list[bytes]:
         """Return the ids of the requests that all engines have received."""
@@ -161,7 +161,7 @@
         """Advance the gateway's clock by a number of ms."""
         for _ in range(ms):
             self.world.wait(1)
-            await self.turn()
+            await self.run_once()
 
     async def close(self) -> None:
         """Close everything, and check that no socket, session or connection has leaked."""
--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -85,17 +85,19 @@
 
 
 class World:
-    """The whole model; `loss` and `again` are the probabilities that a datagram is lost or duplicated."""
+    """The whole model; `loss` and `duplicate_chance` are the shares of datagrams lost and duplicated."""
 
-    def __init__(self, count: int, seed: int, zones: int = 3, loss: float = 0.0, again: float = 0.0) -> None:
+    def __init__(
+        self, count: int, seed: int, zones: int = 3, loss: float = 0.0, duplicate_chance: float = 0.0
+    ) -> None:
         self.count, self.draw, self.now = count, random.Random(seed), 0.0
-        self.loss, self.again = loss, again
+        self.loss, self.duplicate_chance = loss, duplicate_chance
         self.zones = {n: f"z{n % zones}" for n in range(count)}
         self.folders = {n: Folder() for n in range(count)}
         self.earlier: dict[int, list[Folder]] = {n: [] for n in range(count)}
         self.nodes: dict[int, Node] = {}
         self.twins: list[Node] = []
-        self.cut: set[frozenset[int]] = set()
+        self.cut_links: set[frozenset[int]] = set()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.order, self.names = itertools.count(), itertools.count()
         self.runs: Counter[bytes] = Counter()
@@ -168,13 +170,13 @@
             node.alive, node.folder.was_clean_shutdown = False, clean
             for client in [x for x in self.waits.values() if x.name.startswith(f"{number}/")]:
                 del self.waits[client.name]
-                self._again(client)
+                self._retry_later(client)
 
     def partition(self, *sides: Iterable[int]) -> None:
         """Split the network, so that only instances of the same side reach each other."""
         where = {n: i for i, side in enumerate(sides) for n in side}
         pairs = itertools.combinations(range(self.count), 2)
-        self.cut = {frozenset(pair) for pair in pairs if where.get(pair[0]) != where.get(pair[1])}
+        self.cut_links = {frozenset(pair) for pair in pairs if where.get(pair[0]) != where.get(pair[1])}
 
     def live_nodes(self) -> list[Node]:
         return [n for n in [*self.nodes.values(), *self.twins] if n.alive]
@@ -186,8 +188,8 @@
         node.survey.set_members(clock, [1000 + n for n in range(self.count) if n != node.number])
         if node.history.has_pending:
             node.survey.expedite(clock)
-        self._carry_out(node, node.survey.step(clock))
-        self._memory(node, node.history.step(clock, self._fleet_state(node)))
+        self._execute(node, node.survey.step(clock))
+        self._execute_history(node, node.history.step(clock, self._fleet_state(node)))
         self._schedule(node)
 
     def _fleet_state(self, node: Node) -> load_history_interface.FleetState:
@@ -209,7 +211,7 @@
             node.wake = when
             self.at(when, lambda: self._tick(node) if node.wake == when else None)
 
-    def _carry_out(self, node: Node, actions: list[survey_results.Action]) -> None:
+    def _execute(self, node: Node, actions: list[survey_results.Action]) -> None:
         for action in actions:
             if isinstance(action, survey_results.SendSurveyMessage):
                 self.send(node, action.member - 1000, action.data)
@@ -226,7 +228,7 @@
             else:
                 node.duplicates_seen.append(action.is_later)
 
-    def _memory(self, node: Node, actions: list[load_history_interface.Action]) -> None:
+    def _execute_history(self, node: Node, actions: list[load_history_interface.Action]) -> None:
         for action in actions:
             if isinstance(action, load_history_interface.SendToDispatcher):
                 self.send(node, action.number, action.data)
@@ -239,13 +241,13 @@
 
     def send(self, node: Node, number: int, data: bytes) -> None:
         assert len(data) <= 200
-        for _ in range(1 + (self.draw.random() < self.again)):
+        for _ in range(1 + (self.draw.random() < self.duplicate_chance)):
             if self.draw.random() >= self.loss:
                 delay = self.draw.uniform(0.2, 30.0)
                 self.at(self.now + delay, lambda: self.deliver(node.member, node.number, number, data))
 
     def deliver(self, member: int, source: int, number: int, data: bytes) -> None:
-        if frozenset((source, number)) in self.cut:
+        if frozenset((source, number)) in self.cut_links:
             return
         for node in [n for n in self.live_nodes() if n.number == number]:
             clock, message = node.clock(self.now), decode(data)
@@ -254,17 +256,17 @@
             else:
                 of = node.survey.number_of(member)
                 if of is not None:
-                    self._memory(node, node.history.on_message(clock, of, message))
+                    self._execute_history(node, node.history.on_message(clock, of, message))
             self._schedule(node)
 
-    def first(self, number: int, load: bytes, lasts: float, ends: bool = True) -> Client:
+    def request_load(self, number: int, load: bytes, duration_ms: float, can_succeed: bool = True) -> Client:
         """Send a client's first request for a load.
 
         Args:
             number: Number of the instance that receives it.
             load: Identity of the load.
-            lasts: Duration of the load, in ms.
-            ends: Whether the load may succeed; otherwise it ends as failed, and the client retries.
+            duration_ms: Duration of the load, in ms.
+            can_succeed: Whether the load may succeed; otherwise it ends as failed, and the client retries.
         """
         client = Client(load, f"{number}/{next(self.names)}")
         self.clients.append(client)
@@ -272,12 +274,12 @@
         if node.alive and node.survey.may_send_loads(node.clock(self.now)):
             took = node.history.begin(node.clock(self.now), load)
         if took:
-            self._sent(node, client, lasts, ends)
+            self._sent(node, client, duration_ms, can_succeed)
         else:
-            self._again(client)
+            self._retry_later(client)
         return client
 
-    def _sent(self, node: Node, client: Client, lasts: float, ends: bool) -> None:
+    def _sent(self, node: Node, client: Client, duration_ms: float, can_succeed: bool) -> None:
         node.folder.loads[client.load] = None
         node.history.on_sent(node.clock(self.now), client.load)
         self.runs[client.load] += 1
@@ -285,8 +287,8 @@
             self.violations.append(f"{client.load!r} was sent twice")
         self.waits[client.name] = client
         self.at(
-            self.now + min(lasts, LONGEST_DEADLINE_MS),
-            lambda: self._ended(node, client, ends and lasts < LONGEST_DEADLINE_MS),
+            self.now + min(duration_ms, LONGEST_DEADLINE_MS),
+            lambda: self._ended(node, client, can_succeed and duration_ms < LONGEST_DEADLINE_MS),
         )
 
     def _ended(self, node: Node, client: Client, succeeded: bool) -> None:
@@ -299,9 +301,9 @@
             if succeeded:
                 self._done(client, "ran")
             else:
-                self._again(client)
+                self._retry_later(client)
 
-    def _again(self, client: Client) -> None:
+    def _retry_later(self, client: Client) -> None:
         """Retry at a random running instance, or give up."""
         there = [n.number for n in self.nodes.values() if n.alive]
         if client.attempts >= 6 or not there:
@@ -314,7 +316,7 @@
     def retry(self, number: int, client: Client) -> None:
         node = self.nodes[number]
         if not node.alive:
-            self._again(client)
+            self._retry_later(client)
             return
         client.name = f"{number}/{next(self.names)}"
         clock = node.clock(self.now)
@@ -332,7 +334,7 @@
             self._sent(node, client, 50.0, True)
         elif known is local_loads.LoadKnowledge.NOT_KNOWN_YET:
             client.answer = "NOT_KNOWN_YET"
-            self.at(self.now + HISTORY.retry_after_ms, lambda: self._again(client))
+            self.at(self.now + HISTORY.retry_after_ms, lambda: self._retry_later(client))
         else:
             if known is local_loads.LoadKnowledge.SUCCEEDED and not self.runs[client.load]:
                 self.violations.append(f"{client.load!r} told WELL, never ran")
--- a/tests/transport/test_connect_faults.py
+++ b/tests/transport/test_connect_faults.py
@@ -103,7 +103,7 @@
         client = loopback.client()
         client.send_query(1, "load")
         await loopback.until(lambda: loopback.counts["connect_failed"] == 1)
-        await loopback.turn()
+        await loopback.run_once()
         assert (loopback.counts["attempts_full"], loopback.counts["attempts_connect_failed"]) == (1, 0)
         assert not loopback.world.gateway.scheduler.engines["e0"].ejection_reason
         assert 2 <= loopback.faults.calls["socket"] <= 8  # the listener's, and one each 20 ms
