--- a/cottonhold/emulator/consul/entries.py
+++ b/cottonhold/emulator/consul/entries.py
@@ -102,8 +102,11 @@
 class Check:
     """A check of a node or of a service.
 
-    expires_at: when a TTL ends without an update. deregister_after_s: how long it may be critical before its
-    service is removed.
+    Attributes:
+        ttl_s: Time to live of a TTL check's status, in s; 0 for other checks.
+        expires_at: Time at which a TTL check becomes critical without an update, in s.
+        deregister_after_s: Time for which the check may be critical until its service is removed, in s.
+        critical_since: Time since which the check is critical, in s; infinite if it is not.
     """
 
     id: str
--- a/cottonhold/emulator/consul/faults.py
+++ b/cottonhold/emulator/consul/faults.py
@@ -23,7 +23,7 @@
 
 
 class ActiveFaults:
-    """Faults by kind, each until a time. now: seconds of the caller's clock."""
+    """The active faults by kind, each with its end; `now` returns the caller's time in s."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
--- a/cottonhold/emulator/consul/server.py
+++ b/cottonhold/emulator/consul/server.py
@@ -48,7 +48,7 @@
 
 
 class Server(Listener):
-    """One agent of one datacentre. `calls` holds the time, method and URL of each call."""
+    """One agent of one datacentre; `calls` contains the time, method and URL of each call."""
 
     expected_errors = (*Listener.expected_errors, httptools.HttpParserError)
 
--- a/cottonhold/emulator/lossy_disk.py
+++ b/cottonhold/emulator/lossy_disk.py
@@ -58,7 +58,7 @@
         orders = json.loads(text)
         unknown = set(orders) - {key.name for key in fields(cls)}
         if unknown:
-            raise ValueError(f"no such order: {', '.join(sorted(unknown))}")
+            raise ValueError(f"unknown keys in the control file: {', '.join(sorted(unknown))}")
         return cls(**orders)
 
 
@@ -232,7 +232,7 @@
         self.before_read(self.reads)
         self._update_orders()
         if self.orders.fail_read and self.random.random() < self.orders.fail_read:
-            raise OSError(errno.EIO, "a read failed as told")
+            raise OSError(errno.EIO, "a read failed as the control file says")
 
     def _start(self, operation: Operation) -> None:
         """Count an operation, which may stall or fail."""
@@ -249,7 +249,7 @@
         probability = self.orders.fail_write if operation is Operation.WRITE else self.orders.fail_sync
         can_fail = operation is not Operation.CHANGE_NAMES and probability
         if can_fail and self.random.random() < probability:
-            raise OSError(errno.EIO, f"a {operation} failed as told")
+            raise OSError(errno.EIO, f"a {operation} failed as the control file says")
 
     def _update_orders(self) -> None:
         """Read the control file again if it has changed; a half-written one is skipped this time."""
--- a/cottonhold/emulator/models.py
+++ b/cottonhold/emulator/models.py
@@ -199,7 +199,7 @@
             self.violation = "a load started while another was open elsewhere"
         former_member = open_load[0] if open_load is not None else self.unknown_ends.get(key, member)
         if former_member != member and not ownership.may_have_run:
-            self.violation = "a load started and nobody was told that one before it may have run"
+            self.violation = "a load started without a record that an earlier one may have run"
         self.open_loads[key] = member, self.remaining_loads
         actions = self.running[member].on_request_opened(self.now, key, self.remaining_loads)
         self.execute(member, actions)
--- a/cottonhold/emulator/outages_in_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -49,9 +49,7 @@
         self.estimator = self.fleet.failover_cost or self.estimator
         self.credits = CreditAccount(number)
         self.ejected_until = dict[int, float]()  # by server
-        self.attempts = dict[
-            int, tuple[str, float]
-        ]()  # in flight, by id(request): its id, and time of sending
+        self.attempts = dict[int, tuple[str, float]]()  # in flight, by id(request): its id, time of sending
         self.serial = itertools.count()
 
     def on_request(self, now: float, request: Request) -> None:
--- a/cottonhold/emulator/process_fleet.py
+++ b/cottonhold/emulator/process_fleet.py
@@ -1,6 +1,6 @@
 """Real instances as processes on loopback, and emulated engines that record who checks their health.
 
-Ends only the processes that it started.
+Only processes that were started here are ended.
 """
 
 from __future__ import annotations
--- a/cottonhold/emulator/serving.py
+++ b/cottonhold/emulator/serving.py
@@ -15,9 +15,10 @@
 
 
 class Listener:
-    """A server that ends as a process that dies: its connections break.
+    """A server that aborts its connections when it stops, as a killed process does.
 
-    `expected_errors` end a connection silently.
+    Attributes:
+        expected_errors: Exceptions that end a connection without a message.
     """
 
     expected_errors: tuple[type[BaseException], ...] = (OSError, asyncio.CancelledError)
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -74,7 +74,7 @@
     )
 
 
-def zone_words() -> bytes:
+def zone_report_bytes() -> bytes:
     """Return the zone reports of two instances."""
     failing = zone_messages.ZoneReport(zone_messages.Vote.EVACUATE, 1, 2, 300, 0.25, True, True)
     healthy = zone_messages.ZoneReport(zone_messages.Vote.SERVE, 9, 0, 0, 1.0)
@@ -82,7 +82,7 @@
     return zone_messages.encode_zone_reports([first, zone_messages.MemberReport(2, 3, 4, 5, 6, {})], 200)
 
 
-def orders() -> bytes:
+def zone_overrides() -> bytes:
     """Return operators' overrides of zones."""
     return operator_overrides.encode_overrides(
         1000.0,
@@ -99,7 +99,7 @@
     )
 
 
-def price_loads() -> bytes:
+def demand_report_bytes() -> bytes:
     """Return the demand reports of two instances."""
     busy = ReportedDemand({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
     return demand_messages.encode_demand_reports(
@@ -110,7 +110,7 @@
     )
 
 
-def here() -> bytes:
+def presence() -> bytes:
     """Return an instance's presence message of the recovery survey."""
     pairs = (
         recovery_messages.PeerState(1, 5, 0x77, 123_456.7, 999.0, True, False),
@@ -165,7 +165,7 @@
     return membership_table.encode_member_list(table)
 
 
-def drain_word() -> bytes:
+def drain_report() -> bytes:
     """Return a dispatcher's drain report."""
     rows = {
         7: engine_drain_messages.DrainedEngineRow(3, 70_000, True),
@@ -176,7 +176,7 @@
     )
 
 
-def handed_request(named: bool) -> bytes:
+def forwarded_request(named: bool) -> bytes:
     """Return a forwarded request, with or without tenant and idempotency key."""
     names = ("acme", "key-1") if named else ("", "")
     return request_codec.encode_request(
@@ -235,7 +235,7 @@
     return records.LoadRecord(IDENTITY, "r1", "k1", b"digest", "e1", 9, 1234.5, state, 2345.75).encode()
 
 
-def kept(actions: list[object]) -> bytes:
+def persisted_states(actions: list[object]) -> bytes:
     """Return the names and values of the states to be persisted."""
     return b"".join(a.name.encode() + b"=" + a.data + b";" for a in actions if isinstance(a, PersistState))
 
@@ -244,17 +244,19 @@
     """Return the records of a voter that starts with an empty folder, and of a promise."""
     voter = acceptor.Acceptor(1, [1, 2, 3], 0x5566, {}, 10, 100.0)
     voter.step(0.0)
-    return kept(list(voter.drain_actions())) + acceptor.encode_register(acceptor.VoterRegister(BALLOT, STATE))
+    return persisted_states(list(voter.drain_actions())) + acceptor.encode_register(
+        acceptor.VoterRegister(BALLOT, STATE)
+    )
 
 
-def standing_record() -> bytes:
+def membership_table_record() -> bytes:
     """Return a member's record of the membership table."""
     settings = OwnershipSettings().lease
     lease = MembershipLease(2, [1, 2, 3], [1, 2, 3], 0.0, 1, {}, True, settings, 4, [9])
     return lease.persist(5).data
 
 
-def pin_records() -> bytes:
+def key_move_records() -> bytes:
     """Return both members' records at each step of a key's move from one to the other."""
     states = dict[bytes, None]()
 
@@ -305,12 +307,12 @@
     ),
     "probe report unknown": lambda: membership_adapter.encode_load_report({}).to_bytes(4, "big"),
     "zone number": lambda: zone_messages.zone_number("a").to_bytes(2, "big"),
-    "zone words": zone_words,
+    "zone words": zone_report_bytes,
     "zone loan ask": lambda: quota_lending.encode_quota_message(quota_lending.QuotaRequest(9, 77, 1234)),
     "zone loan grant": lambda: quota_lending.encode_quota_message(quota_lending.QuotaGrant(9, 77, 1234)),
-    "zone orders": orders,
-    "price loads": price_loads,
-    "recovery here": here,
+    "zone orders": zone_overrides,
+    "price loads": demand_report_bytes,
+    "recovery here": presence,
     "recovery ask": lambda: recovery_messages.encode(
         recovery_messages.LoadQuery(3, 4, (IDENTITY, bytes(16)))
     ),
@@ -378,14 +380,14 @@
     "forwarding number": lambda: forwarding.request_number(INCARNATION, 9).to_bytes(8, "big"),
     "forwarding ends": lambda: bytes(int(end) for end in forwarding.ForwardResult),
     "forwarding states": lambda: bytes(int(state) for state in forwarding.RequestState),
-    "forwarded request": lambda: handed_request(False),
-    "forwarded request with names": lambda: handed_request(True),
+    "forwarded request": lambda: forwarded_request(False),
+    "forwarded request with names": lambda: forwarded_request(True),
     "forwarded rows": lambda: request_codec.encode_rows([[b"a", b"", b"c" * 300], []]),
     "pin of a key": lambda: request_codec.affinity_key("k1"),
     "replacement register": plan_register,
     "replacement machine register": machine_register,
     "replacement register name": lambda: plan.register_name("a machine with a long name").encode(),
-    "drain word": drain_word,
+    "drain word": drain_report,
     "gateway load": peer_load,
     "gateway work": peer_work,
     "ledger kinds": kinds,
@@ -396,8 +398,8 @@
     "ledger life": lambda: records.IncarnationRecord(9, 10, True).encode(),
     "ledger hint": lambda: records.Hint(b"anything", 12.5).encode(),
     "ledger voter": voter_records,
-    "ledger pins table": standing_record,
-    "ledger pin": pin_records,
+    "ledger pins table": membership_table_record,
+    "ledger pin": key_move_records,
     "ledger engine": engine_records,
     "ledger drained engine": drain_records,
     "boot file": lambda: boot_file.BootFile(9, 3, 77).encode(),
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -156,9 +156,9 @@
 def help_of(path: tuple[str, ...]) -> str:
     """Return what `--help` of a command prints on a plain terminal of 100 columns."""
     plain = {"COLUMNS": "100", "TERM": "dumb", "NO_COLOR": "1", "TERMINAL_WIDTH": "100"}
-    shown = CliRunner().invoke(app, [*path, "--help"], env=plain, prog_name="cottonhold")
-    assert shown.exit_code == 0
-    return "\n".join(line.rstrip() for line in shown.output.splitlines())
+    output = CliRunner().invoke(app, [*path, "--help"], env=plain, prog_name="cottonhold")
+    assert output.exit_code == 0
+    return "\n".join(line.rstrip() for line in output.output.splitlines())
 
 
 COMMANDS = list(commands(typer.main.get_command(app)))
@@ -177,8 +177,8 @@
     """Return the usage and arguments of the platform's own command line."""
     program = [sys.executable, "-m", "cottonhold", "--help"]
     plain = {**os.environ, "COLUMNS": "100", "NO_COLOR": "1"}
-    shown = subprocess.run(program, capture_output=True, text=True, check=True, env=plain).stdout
-    return [shown.splitlines()[0], *shown[shown.index("positional arguments:") :].splitlines()]
+    output = subprocess.run(program, capture_output=True, text=True, check=True, env=plain).stdout
+    return [output.splitlines()[0], *output[output.index("positional arguments:") :].splitlines()]
 
 
 def test_help_of_the_platforms_program() -> None:
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("text", SLOW.values(), ids=SLOW)
-def test_no_statement_holds_up_the_others(text: bytes) -> None:
+def test_no_statement_blocks_other_clients(text: bytes) -> None:
     """A long statement must not block the event loop, which serves all clients."""
     world = World().run("c1 query lookup r1\nany expect GET r1 *")
     session, began = world.sessions.open(), time.process_time()
@@ -94,7 +94,7 @@
         parse(text)
 
 
-WORDS = st.one_of(
+ARGUMENTS = st.one_of(
     st.binary(max_size=20), st.sampled_from([b"served", b"rows", b"crashed", b"overload", b"-"])
 )
 PAIRS = st.builds(
@@ -108,7 +108,7 @@
     ),
 )
 ANSWER = st.builds(
-    lambda ref, word, fields, body: encode_array(ref, word, b",".join(fields), body),
+    lambda ref, status, fields, body: encode_array(ref, status, b",".join(fields), body),
     st.sampled_from([b"%016x" % 2, b"%016x" % 2, b"t1", b"x"]),
     st.sampled_from(
         [b"served", b"served", b"rows", b"crashed", b"overload", b"nobody", b"red", b"green", b"?"]
@@ -118,7 +118,9 @@
 )
 ENGINE_BYTES = st.lists(
     st.one_of(
-        ANSWER, st.lists(WORDS, max_size=9).map(lambda words: encode_array(*words)), st.binary(max_size=30)
+        ANSWER,
+        st.lists(ARGUMENTS, max_size=9).map(lambda arguments: encode_array(*arguments)),
+        st.binary(max_size=30),
     ),
     max_size=6,
 )
@@ -194,7 +196,7 @@
     assert call.is_closing and call.take_output().startswith(b"HTTP/1.1 ")
 
 
-def test_what_is_malformed_is_counted_and_told_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
+def test_malformed_input_is_counted_and_logged_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
     """All input arrives at the same time, so the log's rate limit is never refilled."""
     log, world = Log(seconds=lambda: 0.0), World(engines="a")
     world.gateway.log = world.engines.log = log.write_line
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -1,7 +1,7 @@
-"""The checker's rules about loads that clients retry: by what a load is, across instances.
+"""The checker's rules on loads that clients retry, which are identified across instances.
 
-A clean run has two loads on one key, the first of them requested twice at two instances; each defect is
-planted in it.
+A clean run has two loads on one key, of which the first is requested at two instances. Each test plants one
+defect into it.
 """
 
 from __future__ import annotations
@@ -191,7 +191,7 @@
 
 def test_a_state_folder_is_copied_emptied_and_restored(tmp_path: Path) -> None:
     machines = Machines(tmp_path)
-    machines.restore_old_folder("n0")  # nothing was kept: it stays as it is
+    machines.restore_old_folder("n0")  # no copy of the folder was stored, so it stays unchanged
     started = machines.start("n0")
     assert json.loads(Path(started["disk"]).read_text()) == {} and not started["clock_s"]
     record = machines.state_folder("n0") / "record"
--- a/tests/emulator/test_checker_recovery.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -1,4 +1,4 @@
-"""Figures about a recovery from a power loss and about service in another zone, from logs made by hand; and
+"""Figures of a recovery from a power loss and of service in another zone, from hand-written logs; and
 what they depend on: data sets of an engine, delays between zones, clients that belong to a zone.
 """
 
--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -37,7 +37,7 @@
 
 
 async def exchange(link: TcpLink, data: bytes = b"ask") -> str:
-    """What becomes of a question to an echo behind a link."""
+    """Return the outcome of a request to an echo server behind a link."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", link.port)
     except ConnectionRefusedError:
@@ -171,7 +171,7 @@
 
 
 def test_processes_end_with_the_harness_that_started_them(tmp_path: Path) -> None:
-    """Killed, and not ended in order."""
+    """The harness is killed, without a shutdown."""
     pids = tmp_path / "pids"
     guard = "cottonhold.emulator.fault_injection.parent_death_signal"
     code = (
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -204,7 +204,7 @@
         self.clients: dict[str, Client] = {}
         self.labelled_engines: list[str] = []
         self.unlabelled_engines = engines.split()
-        self.change_engine_list(engines.split(), "live", whole=True)
+        self.change_engine_list(engines.split(), "live", is_complete=True)
 
     def label_engine(self, name: str) -> str:
         """Return an engine's label in the scenario; assign the next of e1, e2, ... if it has none yet."""
@@ -220,11 +220,11 @@
         self.clock.call_in(250.0, lambda: None if connection.is_up else connection.on_closed())
         return stream
 
-    def change_engine_list(self, names: list[str], state: str, whole: bool = False) -> None:
+    def change_engine_list(self, names: list[str], state: str, is_complete: bool = False) -> None:
         """Give the gateway a complete engine list, or changes, in which all these engines have one state."""
         infos = tuple(Engine(name, state=EngineState(state)) for name in names)
         self.gateway.on_engine_list(
-            EngineListChange(infos, {name: Address(name, 1) for name in names}, whole)
+            EngineListChange(infos, {name: Address(name, 1) for name in names}, is_complete)
         )
 
     def settle(self) -> None:
