--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -1,6 +1,4 @@
-"""The harness's own parts: links that fail as set, scenarios that are decoded again, and a checker that finds
-each defect.
-"""
+"""The parts of the fault injection: links with faults, decoded scenarios, and a checker that finds defects."""
 
 from __future__ import annotations
 
@@ -193,10 +191,10 @@
             state = Path(f"/proc/{child}/stat").read_text().rpartition(")")[2].split()[0]
         except OSError:
             return
-        if state == "Z":  # nobody waits for it any more, but it has ended
+        if state == "Z":  # a zombie has ended, although no process has reaped it
             return
         time.sleep(0.01)
-    raise AssertionError("the child lives on")
+    raise AssertionError("the child process is still running")
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=[d.name for d in SCENARIOS])
@@ -245,9 +243,7 @@
 
 
 def clean_logs() -> RunLogs:
-    """Four requests, one each second, each served by the engine that made it; two of them loads on one
-    key.
-    """
+    """Return logs of four requests, one per second, each served by its engine; two are loads of one key."""
     engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
     clients, links = list[LogLine](), list[LogLine]()
     for n in range(4):
