--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""The parts of the fault injection: links with faults, decoded scenarios, and a checker that finds defects."""
+"""The parts of the fault injection: links with faults, decoded scenarios, and a checker of run logs."""
 
 from __future__ import annotations
 
