--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -1,4 +1,4 @@
-"""Drawn bytes for each reader: only its own error may come out, and others keep their answers."""
+"""Random bytes for each reader: it may raise only its own error, and other connections are not affected."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.log import BURST_LINES, Log
 from cottonhold.scheduler.events import EngineListFailed
-from tests.support.drawn_cases import CASES, untroubled
+from tests.support.drawn_cases import CASES, has_no_faults
 from tests.support.scenario import LOGIN, FakeClock, World, packet
 
-MOST_SECONDS = 2.0  # of processor time for one statement; a quadratic reader takes over 10
+MAX_CPU_SECONDS = 2.0  # processor time for one statement; a quadratic reader takes over 10 s
 
 FIELDS = b"/* service=lookup,ref=%s,allow=5000 */ "
 STATEMENTS = st.one_of(
@@ -61,7 +61,7 @@
     for at in range(0, len(data), pieces):
         session.receive(data[at : at + pieces])
         world.wait(0)
-    assert len(session.buffer) <= MAX_PACKET_BYTES + 4 and untroubled(world)
+    assert len(session.buffer) <= MAX_PACKET_BYTES + 4 and has_no_faults(world)
     session.on_closed()
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
 
@@ -79,12 +79,12 @@
 
 
 @pytest.mark.parametrize("text", SLOW.values(), ids=SLOW)
-def test_no_statement_holds_up_the_others(text: bytes) -> None:
-    """One long statement must not hold the event loop, and with it all clients."""
+def test_no_statement_blocks_other_clients(text: bytes) -> None:
+    """A long statement must not block the event loop, which serves all clients."""
     world = World().run("c1 query lookup r1\nany expect GET r1 *")
     session, began = world.sessions.open(), time.process_time()
     session.receive(packet(1, LOGIN) + packet(0, b"\x03" + text))
-    assert time.process_time() - began < MOST_SECONDS
+    assert time.process_time() - began < MAX_CPU_SECONDS
 
 
 @CASES
@@ -94,7 +94,7 @@
         parse(text)
 
 
-WORDS = st.one_of(
+ARGUMENTS = st.one_of(
     st.binary(max_size=20), st.sampled_from([b"served", b"rows", b"crashed", b"overload", b"-"])
 )
 PAIRS = st.builds(
@@ -108,7 +108,7 @@
     ),
 )
 ANSWER = st.builds(
-    lambda ref, word, fields, body: encode_array(ref, word, b",".join(fields), body),
+    lambda ref, status, fields, body: encode_array(ref, status, b",".join(fields), body),
     st.sampled_from([b"%016x" % 2, b"%016x" % 2, b"t1", b"x"]),
     st.sampled_from(
         [b"served", b"served", b"rows", b"crashed", b"overload", b"nobody", b"red", b"green", b"?"]
@@ -118,7 +118,9 @@
 )
 ENGINE_BYTES = st.lists(
     st.one_of(
-        ANSWER, st.lists(WORDS, max_size=9).map(lambda words: encode_array(*words)), st.binary(max_size=30)
+        ANSWER,
+        st.lists(ARGUMENTS, max_size=9).map(lambda arguments: encode_array(*arguments)),
+        st.binary(max_size=30),
     ),
     max_size=6,
 )
@@ -127,17 +129,17 @@
 @CASES
 @given(ENGINE_BYTES, st.integers(1, 40))
 def test_an_engines_bytes(parts: list[bytes], pieces: int) -> None:
-    """The request there gets one final answer at most; the one at the other engine keeps its own."""
+    """The query at this engine has at most one final answer; the other engine's query is not affected."""
     world = World().run("c1 query lookup r1\ne1 expect GET r1 *\nc2 query lookup r2\ne2 expect GET r2 *")
     connection, data = world.engine_stream("e2").connection, b"".join(parts)
     for at in range(0, len(data), pieces):
         connection.receive(data[at : at + pieces])
         world.wait(0)
     world.wait(50.0)
-    assert untroubled(world) and len(world.clients["c2"].received) <= 1
+    assert has_no_faults(world) and len(world.clients["c2"].received) <= 1
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
     world.wait(6000.0)
-    assert untroubled(world) and len(world.clients["c2"].received) == 1, world.log
+    assert has_no_faults(world) and len(world.clients["c2"].received) == 1, world.log
 
 
 @CASES
@@ -164,7 +166,7 @@
     world.gateway.push(message or EngineListFailed())
     world.wait(50.0)
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
-    assert untroubled(world), world.log
+    assert has_no_faults(world), world.log
 
 
 CALL = st.one_of(
@@ -190,12 +192,12 @@
     call, data = calls.open(), b"".join(parts)
     for at in range(0, len(data), pieces):
         call.receive(data[at : at + pieces])
-    clock.run_until(clock.at + 5000, lambda: None)
+    clock.run_until(clock.now_ms + 5000, lambda: None)
     assert call.is_closing and call.pop_output().startswith(b"HTTP/1.1 ")
 
 
-def test_what_is_malformed_is_counted_and_told_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
-    """All of it within one moment: the log's bucket is never filled again."""
+def test_malformed_input_is_counted_and_logged_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
+    """All input arrives at the same time, so the log's rate limit is never refilled."""
     log, world = Log(clock=lambda: 0.0), World(engines="a")
     world.gateway.log = world.engines.log = log.write_line
     peers = PeerDatagrams((Address("a", 1),), None, world.counters, log.write_line)
--- a/tests/membership/test_duties.py
+++ b/tests/membership/test_duties.py
@@ -200,7 +200,7 @@
     site.claim(1, 2)
     site.run(3000)
     minority = {site.addresses[1], site.addresses[2]}
-    site.network.is_cut = lambda a, b: (a in minority) is not (b in minority)
+    site.network.is_disconnected = lambda a, b: (a in minority) is not (b in minority)
     site.claim(1, 2, 4)  # each side of the partition assigns the duty to one of its members
     site.run(3000)
     assert site.holder(1) == 4
@@ -255,9 +255,9 @@
             )
         elif kind == "split":
             half = set(draw.sample(sorted(site.numbers, key=str), 2))
-            site.network.is_cut = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
+            site.network.is_disconnected = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
         else:
-            site.network.is_cut = lambda a, b: False
+            site.network.is_disconnected = lambda a, b: False
             site.network.loss = draw.choice([0.0, 0.1, 0.4])
         site.run(draw.uniform(50, 1500))
 
