--- a/cottonhold/emulator/fault_injection/defects.py
+++ b/cottonhold/emulator/fault_injection/defects.py
@@ -8,7 +8,7 @@
 from cottonhold.store.ledger import Ledger, OnWritten
 from cottonhold.store.records import Record, RecordKind
 
-LATE_S = 1.0
+RECORD_DELAY_S = 1.0
 
 
 def _record_late() -> None:
@@ -19,7 +19,7 @@
         if on_written is None or records[0].kind is not RecordKind.LOAD:
             original_put(self, records, on_written)
             return
-        timer = threading.Timer(LATE_S, original_put, (self, records))
+        timer = threading.Timer(RECORD_DELAY_S, original_put, (self, records))
         timer.daemon = True
         timer.start()
         on_written(True)
--- a/cottonhold/emulator/fault_injection/engine.py
+++ b/cottonhold/emulator/fault_injection/engine.py
@@ -112,7 +112,7 @@
         load = LOAD_KEY.search(statement)
         key, number = (load[1].decode(), int(load[2])) if load else ("", 0)
         self.write_log("get", request_id, class_name, key, number, round(work_ms, 2))
-        if self._overloads(work_ms):
+        if self._is_overloaded_by(work_ms):
             return
         if self.random.random() < self.traits.failure_share:
             self._reject(request_id, "crashed", writer)
@@ -138,7 +138,7 @@
     def _age_ms(self) -> float:
         return (time.monotonic() - self.started_at) * 1000
 
-    def _overloads(self, work_ms: float) -> bool:
+    def _is_overloaded_by(self, work_ms: float) -> bool:
         """Count work that arrives; return whether the engine has been sent too much while it was cold, and
         responds no more. What it bears grows with its speed: by the limit of the coldest, one at its usual
         load would be overloaded by chance just before it is warm."""
--- a/cottonhold/emulator/fault_injection/executions.py
+++ b/cottonhold/emulator/fault_injection/executions.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class LoadWork:
+class LoadHistory:
     """One load: its client's attempts, and its executions in the order in which they began."""
 
     key: str
@@ -43,11 +43,11 @@
         return min((attempt.started_at for attempt in self.attempts), default=-math.inf)
 
 
-def load_works(
+def load_histories(
     requests: Mapping[str, RequestLog], executions: Mapping[str, Sequence[Execution]]
-) -> list[LoadWork]:
+) -> list[LoadHistory]:
     """Return all loads that arrived at an engine. One that did not begin there is no execution."""
-    works: dict[tuple[str, int], LoadWork] = {}
+    works: dict[tuple[str, int], LoadHistory] = {}
     attempts: dict[int, list[RequestLog]] = defaultdict(list)
     for request in requests.values():
         attempts[request.client].append(request)
@@ -56,7 +56,7 @@
             if not execution.key:
                 continue
             identity = execution.key, execution.load_number
-            work = works.setdefault(identity, LoadWork(*identity))
+            work = works.setdefault(identity, LoadHistory(*identity))
             if not work.attempts and request_id in requests:
                 work.attempts = attempts[requests[request_id].client]
             if execution.began_at < math.inf:
@@ -69,7 +69,7 @@
 def check_executions(history: RunHistory, verdict: Verdict) -> None:
     """Each load is run once. Where the scenario says so, also: one of a key at a time over all instances, and
     one that was requested after another's end was known begins after it."""
-    works = load_works(history.requests, history.executions)
+    works = load_histories(history.requests, history.executions)
     _check_duplicates(works, verdict)
     _count_retries(history, verdict)
     findings = _overlaps(works) + _reversals(works)
@@ -78,7 +78,7 @@
         verdict.findings += findings
 
 
-def _check_duplicates(works: Sequence[LoadWork], verdict: Verdict) -> None:
+def _check_duplicates(works: Sequence[LoadHistory], verdict: Verdict) -> None:
     duplicates = [work for work in works if len(work.executions) > 1]
     for work in duplicates:
         where = ", ".join(f"{e.engine} ({e.end or 'open'})" for e in work.executions)
@@ -102,9 +102,9 @@
     verdict.figures["loads_sent_again"] = float(sum(len(sends) > 1 for sends in may_have_run.values()))
 
 
-def _executions_by_key(works: Sequence[LoadWork]) -> dict[str, list[tuple[Execution, LoadWork]]]:
+def _executions_by_key(works: Sequence[LoadHistory]) -> dict[str, list[tuple[Execution, LoadHistory]]]:
     """Return the executions of each key with their loads, in the order in which they began."""
-    by_key: dict[str, list[tuple[Execution, LoadWork]]] = defaultdict(list)
+    by_key: dict[str, list[tuple[Execution, LoadHistory]]] = defaultdict(list)
     for work in works:
         by_key[work.key] += [(execution, work) for execution in work.executions]
     for rows in by_key.values():
@@ -112,11 +112,11 @@
     return by_key
 
 
-def _overlaps(works: Sequence[LoadWork]) -> list[str]:
+def _overlaps(works: Sequence[LoadHistory]) -> list[str]:
     """Return a finding for each execution that began while another load of its key ran."""
     findings = []
     for key, rows in _executions_by_key(works).items():
-        last: tuple[Execution, LoadWork] | None = None  # of those that began, the one that ends last
+        last: tuple[Execution, LoadHistory] | None = None  # of those that began, the one that ends last
         for execution, work in rows:
             if last is not None and last[1] is not work and execution.began_at < last[0].ended_at:
                 where = f"{last[0].engine} and {execution.engine}"
@@ -128,12 +128,12 @@
     return findings
 
 
-def _reversals(works: Sequence[LoadWork]) -> list[str]:
+def _reversals(works: Sequence[LoadHistory]) -> list[str]:
     """Return a finding for each load that began after one of its key which was requested when the former's
     end was known."""
     findings = []
     for key, rows in _executions_by_key(works).items():
-        last: LoadWork | None = None  # of those that have begun, the one that was requested last
+        last: LoadHistory | None = None  # of those that have begun, the one that was requested last
         for _, work in rows:
             if last is not None and work.notified_at < last.requested_at:
                 findings.append(
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -36,7 +36,7 @@
 FORGERY_INTERVAL_S = 0.1
 # Versions of forged reports: above those that an instance gives its own within a run.
 FORGED_VERSIONS = range(1_000_000, 2_000_000)
-FORGED_BAD_ATTEMPTS = 200
+FORGED_FAILED_ATTEMPTS = 200
 FORGED_CENTICORES = 100
 MAX_FORGED_BYTES = 200
 SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP, "go": signal.SIGCONT}
@@ -61,8 +61,8 @@
             "traits": self._on_traits,
             "drain": self._on_drain,
             "undrain": self._on_drain,
-            "power": lambda fault: self.cut_power(fault.target),
-            "swap": self._on_swap,
+            "power": lambda fault: self.simulate_power_loss(fault.target),
+            "swap": self._on_replacement,
             "start": self._on_start,
             "end": self._on_end,
             "twice": self._on_duplicate,
@@ -85,12 +85,12 @@
         self.background_tasks.append(asyncio.create_task(work))
 
     def _targets(self, fault: Fault) -> list[str]:
-        return self.run.scenario.pick(fault.target)
+        return self.run.scenario.resolve_target(fault.target)
 
     async def _on_link(self, fault: Fault) -> None:
         network = self.run.network
         for instance in self._targets(fault):
-            for engine in self.run.scenario.pick(fault.other):
+            for engine in self.run.scenario.resolve_target(fault.other):
                 link = network.engine_links.get((instance, engine))
                 if link is not None:
                     await link.set(link_state(fault.options, network.distance_ms(instance, engine)))
@@ -105,7 +105,7 @@
         for name in self._targets(fault):
             if name in self.run.network.source_links:
                 await self.run.network.source_links[name].set(link_state(fault.options))
-                self.run.mark(MarkVerb.SOURCE_CUT if is_cut else MarkVerb.SOURCE_HEALED, name)
+                self.run.mark(MarkVerb.SOURCE_DISCONNECTED if is_cut else MarkVerb.SOURCE_RECONNECTED, name)
 
     def _on_peers(self, fault: Fault) -> None:
         options = {name: value for name, value in fault.options.items() if name not in ("forth", "heal")}
@@ -119,7 +119,7 @@
 
     def _instance_numbers(self, target: str) -> list[int]:
         instances = self.run.scenario.instance_names()
-        return [int(name[1:]) for name in self.run.scenario.pick(target) if name in instances]
+        return [int(name[1:]) for name in self.run.scenario.resolve_target(target) if name in instances]
 
     def _on_forge(self, fault: Fault) -> None:
         self._run_in_background(self._forge_reports(fault.target, fault.options["zone"]))
@@ -131,7 +131,7 @@
         codec = Codec(sender_id, incarnation, KeyRing({1: MEMBERSHIP_KEY}, 1))
         evacuate = ZoneReport(
             Vote.EVACUATE,
-            bad=FORGED_BAD_ATTEMPTS,
+            bad=FORGED_FAILED_ATTEMPTS,
             traffic_share=0.0,
             is_certain=True,
             suspects_failure=True,
@@ -180,7 +180,7 @@
                 server.apply(Step(0, ChangeKind.MAINTENANCE, (engine, maintenance)))
             self.run.mark(fault.verb, engine)
 
-    def _on_swap(self, fault: Fault) -> None:
+    def _on_replacement(self, fault: Fault) -> None:
         self._run_in_background(Operators(self.run, fault.target, fault.options).run())
 
     def _on_start(self, fault: Fault) -> None:
@@ -200,9 +200,11 @@
                 self.run.processes.prepare(name)
             self.run.mark(fault.verb, name)
 
-    def cut_power(self, target: str) -> None:
+    def simulate_power_loss(self, target: str) -> None:
         """Kill all processes of a target in the same instant."""
-        names = [name for name in self.run.scenario.pick(target) if self.run.processes.is_running(name)]
+        names = [
+            name for name in self.run.scenario.resolve_target(target) if self.run.processes.is_running(name)
+        ]
         killed_at = time.monotonic()
         # All signals first: to wait for one process would give the others time to notice its end.
         for name in names:
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -45,7 +45,7 @@
 # Clients that ask last wait for their patience, and end within this time after it.
 CLIENT_END_S = 5.0
 PROJECTION_LEAD_S = 1.0  # so long before a zone's outage the projected costs are read
-STEP_S = 0.1  # between two looks at what is due
+POLL_INTERVAL_S = 0.1  # between two looks at what is due
 Progress = Callable[[float, str], None]
 
 
@@ -121,7 +121,11 @@
             "stalls": self.stall_monitor.stalls,
             "timeline": self.timeline,
             "verdict": dataclasses.asdict(verdict),
-            "datagrams": {"passed": switch.passed, "lost": switch.lost, "bytes": switch.bytes},
+            "datagrams": {
+                "passed": switch.forwarded,
+                "lost": switch.dropped,
+                "bytes": switch.bytes_forwarded,
+            },
             "views": views,
             "told": self.projected_costs,
             "ownerless": list(logs.ownerless_counts.items()),
@@ -197,12 +201,12 @@
                 await self.apply(fault)
             if not faults and not self.processes.is_running("clients"):
                 return
-            if self._is_projection_due(now):
+            if self._should_read_projection(now):
                 self.projected_costs = await asyncio.to_thread(self._read_projected_costs)
             self.on_progress(progress, "")
-            await asyncio.sleep(min(faults[0].at_s - now, STEP_S) if faults else STEP_S)
+            await asyncio.sleep(min(faults[0].at_s - now, POLL_INTERVAL_S) if faults else POLL_INTERVAL_S)
 
-    def _is_projection_due(self, now: float) -> bool:
+    def _should_read_projection(self, now: float) -> bool:
         if not self.scenario.instance_zones or self.projected_costs:
             return False
         return self.scenario.outage_at_s - PROJECTION_LEAD_S <= now < self.scenario.outage_at_s
@@ -218,9 +222,9 @@
         """Note what was done to a process, now or at a time of the monotonic clock."""
         self.marks.append(Mark(time.monotonic() if at is None else at, verb, name))
 
-    async def until(self, holds: Callable[[], bool], what: str, seconds: float = START_TIMEOUT_S) -> None:
+    async def until(self, condition: Callable[[], bool], what: str, seconds: float = START_TIMEOUT_S) -> None:
         """Wait for a state. Raises ScenarioRunError if it does not come in time."""
-        if not await wait_until(holds, seconds):
+        if not await wait_until(condition, seconds):
             raise ScenarioRunError(f"{what}: not within {seconds:g} s (logs in {self.folder})")
 
     def view(self, name: str) -> dict[str, Any]:
--- a/cottonhold/emulator/fault_injection/links.py
+++ b/cottonhold/emulator/fault_injection/links.py
@@ -1,8 +1,7 @@
-"""Links between processes on loopback, each with faults of its own by direction. They run in the harness's
-event loop.
+"""Links between processes on the loopback interface, with separate faults for each direction.
 
-A TCP link is a listener of its own. The datagrams of all instances go through one switch, which gives each of
-them a public address.
+The links run in the harness's event loop. Each TCP link has its own listener. The datagrams of all instances
+pass through one switch, which gives each instance a public address.
 """
 
 from __future__ import annotations
@@ -24,19 +23,27 @@
 
 from cottonhold.backend.resp import RespError, RespReader
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER without a time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing sends RST
 CHUNK_BYTES = 65536
 MAX_PENDING_CHUNKS = 256
 MAX_RECENT_DATAGRAMS = 2000
 LOGGED_VERBS = {b"GET": "get", b"DROP": "drop", b"CLOSE": "drop"}
-OnRequestEvent = Callable[[str, str], None]  # what happened on a link to an engine, and to which request
+OnRequestEvent = Callable[[str, str], None]  # called with an event on a link to an engine and the request id
 
 
 class NetworkPath(msgspec.Struct, forbid_unknown_fields=True):
-    """One direction of a link, by the names in `field` in a fault's options. While it is cut, bytes wait and
-    datagrams are lost. bytes_per_s: 0 without a limit."""
-
-    is_cut: bool = field(name="cut", default=False)
+    """One direction of a link; a fault's options use the names in `field`.
+
+    Attributes:
+        is_blocked: TCP bytes are held back and datagrams are dropped while this is set.
+        loss_share: Share of datagrams that are dropped.
+        duplicate_share: Share of datagrams that are delivered twice.
+        delay_ms: One-way delay, in ms.
+        jitter_ms: Largest random addition to the delay, in ms.
+        bytes_per_s: Bandwidth limit; 0 for none.
+    """
+
+    is_blocked: bool = field(name="cut", default=False)
     loss_share: float = field(name="loss", default=0.0)
     duplicate_share: float = field(name="twice", default=0.0)
     delay_ms: float = field(name="delay", default=0.0)
@@ -44,21 +51,39 @@
     bytes_per_s: float = field(name="slow", default=0.0)
 
     def transfer_ms(self, draw: random.Random, size: int, waited_ms: float = 0.0) -> float:
-        """Return how long so many bytes still take that arrived `waited_ms` ago. The delay passes for all of
-        them at once; a bandwidth passes them one after another."""
+        """Return the remaining transfer time of a chunk, in ms.
+
+        The delay runs from the chunk's arrival, so chunks that wait together do not add up their delays. The
+        bandwidth limit applies to each chunk after the previous one.
+
+        Args:
+            draw: Source of the jitter.
+            size: Size of the chunk, in bytes.
+            waited_ms: Time since the chunk arrived, in ms.
+        """
         delay_ms = self.delay_ms + self.jitter_ms * draw.random() - waited_ms
         return max(delay_ms, 0.0) + (1000 * size / self.bytes_per_s if self.bytes_per_s else 0.0)
 
 
 def network_path(options: Mapping[str, Any]) -> NetworkPath:
-    """Return the path that a fault's options describe. Raises msgspec.ValidationError."""
+    """Return the path that a fault's options describe.
+
+    Raises:
+        msgspec.ValidationError: An option is unknown or has a wrong type.
+    """
     return msgspec.convert(options, NetworkPath)
 
 
 @dataclass(slots=True)
 class Link:
-    """Both directions of a TCP link, and what happens to connects. refuses: nobody listens. resets: each
-    connection is reset as soon as it is open."""
+    """The state of a TCP link.
+
+    Attributes:
+        forth: Path from the connecting process to the target.
+        back: Path from the target to the connecting process.
+        refuses: Connection attempts are refused, since the listener is closed.
+        resets: Each connection is reset as soon as it is open.
+    """
 
     forth: NetworkPath = data_field(default_factory=NetworkPath)
     back: NetworkPath = data_field(default_factory=NetworkPath)
@@ -67,15 +92,18 @@
 
 
 class RequestObserver:
-    """Reads along on one connection to an engine: what is sent, cancelled and answered, when the instance did
-    it. An engine that was stopped sees late, and all at once, what was sent to it."""
+    """Records the requests, cancels and responses on one connection to an engine.
+
+    The times are those at which the instance sent them: a stopped engine reads its backlog only once it
+    continues.
+    """
 
     def __init__(self, on_event: OnRequestEvent) -> None:
         self.on_event, self.open_requests = on_event, set[bytes]()
         self.commands, self.responses = RespReader(), RespReader()
 
     def on_command_bytes(self, data: bytes) -> None:
-        """Read bytes on their way to the engine."""
+        """Record the commands in bytes from the instance."""
         with contextlib.suppress(RespError):
             for command in self.commands.feed(data):
                 verb = LOGGED_VERBS.get(command[0])
@@ -89,7 +117,7 @@
                 self.on_event(verb, request_id.decode())
 
     def on_response_bytes(self, data: bytes) -> None:
-        """Read bytes on their way back."""
+        """Record the responses in bytes from the engine."""
         with contextlib.suppress(RespError):
             for response in self.responses.feed(data):
                 request_id = response[0]
@@ -98,14 +126,20 @@
                     self.on_event(response[1].decode(), request_id.decode())
 
     def on_closed(self) -> None:
-        """End what is open on a connection that has ended. May be called again."""
+        """Record that the open requests of a closed connection have ended; repeated calls have no effect."""
         open_requests, self.open_requests = self.open_requests, set()
         for request_id in open_requests:
             self.on_event("closed", request_id.decode())
 
 
 class TcpLink:
-    """A listener that leads to one address. on_event: is called with what passes on a link to an engine."""
+    """Forwards TCP connections from its own listener to one address, with faults.
+
+    Args:
+        target: Address that connections are forwarded to.
+        seed: Seed of the jitter.
+        on_event: Called for each request event; given only for links to engines.
+    """
 
     def __init__(self, target: tuple[str, int], seed: int, on_event: OnRequestEvent | None = None) -> None:
         self.target, self.random, self.on_event = target, random.Random(seed), on_event
@@ -116,13 +150,13 @@
         self.connects = 0
 
     async def start(self) -> int:
-        """Listen, and return the port, which stays the same."""
+        """Listen, and return the port, which is the same after each restart of the listener."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=CHUNK_BYTES)
         self.port = int(self.server.sockets[0].getsockname()[1])
         return self.port
 
     async def set(self, link: Link) -> None:
-        """Change the state. What waits goes on once nothing is cut."""
+        """Change the link's state. Bytes that were held back are sent once their direction is not blocked."""
         previous, self.link = self.link, link
         self.is_changed.set()
         self.is_changed = asyncio.Event()
@@ -158,7 +192,7 @@
                 *self._copy_back(target_reader, writer, observer),
             )
         except OSError:
-            _reset(writer)  # nobody listens: the caller is to see a connection that breaks
+            _reset(writer)  # the target does not listen: break the caller's connection
         except asyncio.CancelledError:
             pass
         finally:
@@ -175,8 +209,9 @@
         writer: asyncio.StreamWriter,
         observer: RequestObserver | None,
     ) -> tuple[Coroutine[None, None, None], Coroutine[None, None, None]]:
-        # An end is observed as soon as it is read. Once all before it was written it could come behind the
-        # next attempt's begin, and an instance would seem to have two open at once.
+        # The end of a connection is recorded as soon as it is read. If it were recorded only once all earlier
+        # bytes are written, it could follow the start of the next attempt, and an instance would seem to have
+        # two attempts open.
         on_bytes = observer.on_command_bytes if observer is not None else None
         on_end = observer.on_closed if observer is not None else None
         return self._copy(reader, writer, lambda: self.link.forth, on_bytes, on_end)
@@ -198,8 +233,7 @@
         on_bytes: Callable[[bytes], None] | None,
         on_end: Callable[[], None] | None,
     ) -> tuple[Coroutine[None, None, None], Coroutine[None, None, None]]:
-        """Return the two tasks of one direction: one reads at once, whatever is cut, the other writes when
-        the path allows."""
+        """Return two coroutines for one direction: a reader that never waits for the path, and a writer."""
         pending: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(maxsize=MAX_PENDING_CHUNKS)
 
         async def read() -> None:
@@ -210,12 +244,12 @@
             if on_end is not None:
                 on_end()
             await pending.put((0.0, b""))
-            await asyncio.Event().wait()  # the other task ends the copy, once all is written
+            await asyncio.Event().wait()  # the writer ends the copy once all is written
 
         async def write() -> None:
             while (chunk := await pending.get())[1]:
                 received_at, data = chunk
-                while path().is_cut:
+                while path().is_blocked:
                     await self.is_changed.wait()
                 waited_ms = (time.monotonic() - received_at) * 1000
                 delay_ms = path().transfer_ms(self.random, len(data), waited_ms)
@@ -228,7 +262,7 @@
 
 
 async def _until_first_ends(*work: Coroutine[None, None, None]) -> None:
-    """Run all until one of them ends, and cancel the others."""
+    """Run coroutines until one of them ends, then cancel the others."""
     tasks = [asyncio.create_task(coroutine) for coroutine in work]
     try:
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -254,11 +288,16 @@
         self.switch.forward(addr[1], self.number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore the closed port of an instance that is not running."""
+        """Ignore the error; the instance at the destination is not running."""
 
 
 class DatagramSwitch:
-    """Public addresses of instances, and the paths between them. ports: the instances' own UDP ports."""
+    """Forwards datagrams between instances from their public addresses, with faults for each path.
+
+    Args:
+        ports: UDP port on which each instance listens, by its number.
+        seed: Seed of losses, duplicates and jitter.
+    """
 
     def __init__(self, ports: list[int], seed: int) -> None:
         self.ports, self.random = ports, random.Random(seed)
@@ -266,11 +305,11 @@
         self.transports: list[asyncio.DatagramTransport] = []
         self.addresses: list[int] = []
         self.paths: dict[tuple[int, int], NetworkPath] = {}
-        self.passed = self.lost = self.unknown_senders = self.bytes = 0
+        self.forwarded = self.dropped = self.unknown_senders = self.bytes_forwarded = 0
         self.recent_datagrams: deque[tuple[int, int, bytes]] = deque(maxlen=MAX_RECENT_DATAGRAMS)
 
     async def start(self) -> list[int]:
-        """Open the public addresses, and return their ports."""
+        """Open the public address of each instance, and return their ports."""
         loop = asyncio.get_running_loop()
         for number in range(len(self.ports)):
             transport, _ = await loop.create_datagram_endpoint(
@@ -282,7 +321,7 @@
         return self.addresses
 
     def stop(self) -> None:
-        """Close all."""
+        """Close the public addresses."""
         for transport in self.transports:
             transport.close()
 
@@ -291,25 +330,31 @@
         return self.paths.setdefault((sender, receiver), NetworkPath())
 
     def forward(self, port: int, receiver: int, data: bytes) -> None:
-        """Pass on a datagram that a port sent to an instance's public address."""
+        """Forward a datagram to an instance, subject to the faults of its path.
+
+        Args:
+            port: UDP port of the sending instance.
+            receiver: Number of the instance whose public address received the datagram.
+            data: Payload of the datagram.
+        """
         sender = self.numbers.get(port)
         if sender is None:
             self.unknown_senders += 1
             return
         self.recent_datagrams.append((sender, receiver, data))
         path = self.path(sender, receiver)
-        if path.is_cut or self.random.random() < path.loss_share:
-            self.lost += 1
+        if path.is_blocked or self.random.random() < path.loss_share:
+            self.dropped += 1
             return
         for _ in range(2 if self.random.random() < path.duplicate_share else 1):
             delay_ms = path.transfer_ms(self.random, len(data))
-            if delay_ms > 0:  # with jitter one datagram may overtake another
+            if delay_ms > 0:  # jitter may reorder datagrams
                 loop = asyncio.get_running_loop()
                 loop.call_later(delay_ms / 1000, self._send, sender, receiver, data)
             else:
                 self._send(sender, receiver, data)
 
     def _send(self, sender: int, receiver: int, data: bytes) -> None:
-        self.passed, self.bytes = self.passed + 1, self.bytes + len(data)
+        self.forwarded, self.bytes_forwarded = self.forwarded + 1, self.bytes_forwarded + len(data)
         if not self.transports[sender].is_closing():
             self.transports[sender].sendto(data, ("127.0.0.1", self.ports[receiver]))
--- a/cottonhold/emulator/fault_injection/network.py
+++ b/cottonhold/emulator/fault_injection/network.py
@@ -114,10 +114,10 @@
     direction. distance_ms: the delay one way that the link has without any fault."""
     shared = {name: value for name, value in options.items() if name in ("delay", "jitter", "slow")}
     shared["delay"] = shared.get("delay", 0.0) + distance_ms
-    is_cut = bool(options.get("cut"))
+    is_blocked = bool(options.get("cut"))
     return Link(
-        forth=network_path(shared | {"cut": is_cut or bool(options.get("forth"))}),
-        back=network_path(shared | {"cut": is_cut or bool(options.get("back"))}),
+        forth=network_path(shared | {"cut": is_blocked or bool(options.get("forth"))}),
+        back=network_path(shared | {"cut": is_blocked or bool(options.get("back"))}),
         refuses=bool(options.get("refuse")),
         resets=bool(options.get("reset")),
     )
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -33,7 +33,9 @@
         self.call: dict[str, Any] = {"call": "swap", "who": "rig"}
         self.call |= {name: value for name, value in options.items() if name not in ("gone", "empty")}
         if isinstance(self.call["machines"], str):
-            self.call["machines"] = [{"name": name} for name in run.scenario.pick(self.call["machines"])]
+            self.call["machines"] = [
+                {"name": name} for name in run.scenario.resolve_target(self.call["machines"])
+            ]
         self.pending_machines: set[str] = set()
 
     async def run(self) -> None:
@@ -65,7 +67,9 @@
         return False
 
     def _names_of(self, machine: dict[str, Any]) -> list[str]:
-        return self.scenario_run.scenario.pick(machine["zone"] if "zone" in machine else machine["name"])
+        return self.scenario_run.scenario.resolve_target(
+            machine["zone"] if "zone" in machine else machine["name"]
+        )
 
     async def _replace_instance(self, name: str) -> None:
         """End an instance, and start another machine under its name."""
--- a/cottonhold/emulator/fault_injection/power_loss_run.py
+++ b/cottonhold/emulator/fault_injection/power_loss_run.py
@@ -1,6 +1,7 @@
-"""A small fleet of processes that loses power again and again; loads that run twice are findings.
+"""Runs a small fleet of processes through repeated power losses; each load that runs twice is a finding.
 
-All processes are killed at once at drawn times, without what was not synced, and come back in a drawn order.
+All processes are killed simultaneously at random times and lose the writes that were not synced. They are
+restarted in a random order.
 """
 
 from __future__ import annotations
@@ -30,18 +31,20 @@
 
 RESULT_FILE = "cuts.json"
 CLIENT_TIMEOUT_S = 5.0
-HOLD_S = 2 * CLIENT_TIMEOUT_S + 10.0  # how long instances remember a load
-SERVING_TIMEOUT_S = 60.0  # until loads have to be served again, on a machine that others use too
-MIN_TIMEOUT_MS = 1400.0  # an attempt that waits so long is not unanswered for the machine's load alone
-MAX_SEND_DELAY_S = 0.3  # of such an attempt
-FINAL_S = 120.0  # of a scenario, without a power loss
-REST_S = HOLD_S + 4.0  # until memories are complete again, and loads that are asked about are forgotten
+LOAD_RETENTION_S = 2 * CLIENT_TIMEOUT_S + 10.0  # how long instances remember a load
+SERVING_TIMEOUT_S = 60.0  # for loads to be served again, on a shared machine
+MIN_TIMEOUT_MS = 1400.0  # attempts with a shorter timeout may fail because the machine is busy
+MAX_SEND_DELAY_S = 0.3  # an attempt that was sent later than this does not count as unanswered
+FINAL_PHASE_S = 120.0  # at the end of a scenario, without power losses
+SETTLE_S = (
+    LOAD_RETENTION_S + 4.0
+)  # until every instance's load records are complete and retried loads are forgotten
 LOG_POLL_INTERVAL_S = 0.1
 STALL_CHECK_INTERVAL_S, MIN_STALL_S = 0.05, 0.25
 
 
 def scenario_of(seed: int) -> Scenario:
-    """Return a scenario; its clients' behaviour is drawn."""
+    """Return the scenario of a seed, which also determines the clients' behaviour."""
     draw = random.Random(seed)
     behaviour = ClientBehaviour(
         max_attempts=4,
@@ -71,7 +74,14 @@
 
 
 class PowerLossCounts(msgspec.Struct, array_like=True):
-    """Loads as a power loss met them, and the answers to their retries by RetryAnswer."""
+    """Counts of loads by their state at a power loss, and of the answers to retries until the next one.
+
+    Attributes:
+        in_flight: Loads whose clients were waiting for an answer.
+        at_engines: Loads that were running at an engine.
+        unreported: Loads that had begun although their clients had received no result.
+        answers: Answers to retries, by RetryAnswer.
+    """
 
     in_flight: int
     at_engines: int
@@ -93,11 +103,23 @@
         "started_at": "begun",
     },
 ):
-    """What a run showed, as its result file has it.
-
-    duplicates: loads that ran twice. resent: number of loads that were sent to engines twice. unanswered:
-    number of attempts without an answer in time. moments, has_wrong_folder, has_instance_away, observed: by
-    power loss.
+    """The result of a run, as written to its result file.
+
+    Attributes:
+        seed: Seed of the scenario.
+        loads: Number of loads that clients sent.
+        duplicates: Numbers of the loads that ran twice.
+        resent: Number of loads that arrived at engines more than once.
+        findings: Broken rules.
+        unanswered: Number of attempts without an answer in time.
+        recovery_times_s: For each restart, the time until loads began at engines again.
+        moments: For each power loss, its PowerLossMoment.
+        has_wrong_folder: For each power loss, whether a state folder was emptied or replaced by an old copy.
+        has_instance_away: For each power loss, whether an instance was not restarted after it.
+        observed: For each power loss, the counts of the loads that it interrupted.
+        timeline: Power losses, as lines of text.
+        started_at: When the load began, in seconds of the monotonic clock.
+        marks: What the harness did to processes.
     """
 
     seed: int
@@ -122,9 +144,15 @@
 
 
 class PowerLossRun(ScenarioRun):
-    """A run, and what its logs show so far.
-
-    has_ledger: instances remember loads on disk; without, loads have to be found that ran twice.
+    """One run with repeated power losses, and the contents of its logs so far.
+
+    Args:
+        scenario: The scenario to run; see `scenario_of`.
+        folder: Folder for logs and results.
+        has_ledger: Whether instances record loads on disk. Without records the run must find loads that ran
+            twice, which shows that the check works.
+        defect: Defect to start all instances with; see defects.py.
+        forks: Whether engines and instances are forked from a process that has loaded their programs.
     """
 
     def __init__(
@@ -137,16 +165,20 @@
     ) -> None:
         super().__init__(scenario, folder, forks=forks, defect=defect)
         self.has_ledger, self.tally = has_ledger, Tally()
-        self.power_lost_at: list[float] = []
+        self.power_loss_times: list[float] = []
         self.power_losses: list[PowerLoss] = []
         self.findings: list[str] = []
-        self.recovery_times_s: list[float] = []  # from the first start until loads began at engines again
+        self.recovery_times_s: list[float] = []  # from each restart until loads began at engines again
         self.unanswered_count = 0
         self.stalls: list[tuple[float, float]] = []
-        self._bytes_read: dict[str, int] = {}  # of each log
+        self._bytes_read: dict[str, int] = {}  # by the name of the log
 
     async def run(self, count: int) -> PowerLossRunResult:
-        """Play so many power losses, or as many as there is time for; write and return the result."""
+        """Run `count` power losses, or as many as the duration allows; write and return the result.
+
+        Raises:
+            ScenarioRunError: The fleet did not start.
+        """
         watch = asyncio.create_task(self._watch_stalls())
         try:
             await self.start()
@@ -166,22 +198,22 @@
         restart = asyncio.create_task(asyncio.sleep(0.0))
         restarted_at = time.monotonic()
         for power_loss in PowerLossDraw(seed, self.scenario.instance_names()).power_losses(count):
-            if time.monotonic() - self.started_at > self.scenario.duration_s - FINAL_S:
-                break  # clients are about to end: more fleets are needed for as many power losses
+            if time.monotonic() - self.started_at > self.scenario.duration_s - FINAL_PHASE_S:
+                break  # the clients are about to end
             await self._wait_for_moment(power_loss, restart, restarted_at)
             restart.cancel()
-            self._cut_power(power_loss)
+            self._inject_power_loss(power_loss)
             await asyncio.sleep(power_loss.outage_s)
             restarted_at = time.monotonic()
             restart = asyncio.create_task(self._restart(power_loss))
             print(f"seed {seed}: {power_loss}; loads {len(self.tally.loads)}", flush=True)
         await restart
-        await self._until_loads_run(restarted_at)
+        await self._wait_until_loads_run(restarted_at)
         await asyncio.sleep(CLIENT_TIMEOUT_S + 2.0)
-        await self._until_all_send_loads()
+        await self._wait_until_all_send_loads()
 
     def instance_config(self, name: str) -> dict[str, Any]:
-        """See ScenarioRun."""
+        """Return the configuration of an instance, with or without a ledger of loads."""
         config = super().instance_config(name)
         if not self.has_ledger:
             del config["state_dir"]
@@ -193,11 +225,15 @@
     async def until(
         self, condition: Callable[[], bool], what: str, seconds: float = SERVING_TIMEOUT_S
     ) -> None:
-        """As ScenarioRun's, with a longer timeout."""
+        """Wait until a condition holds, with a longer default timeout than ScenarioRun.
+
+        Raises:
+            ScenarioRunError: The condition did not hold within the time.
+        """
         await super().until(condition, what, seconds)
 
     def read_logs(self) -> None:
-        """Read all logs, and report at once loads that ran twice."""
+        """Read the new lines of all logs, and add a finding for each load that ran twice."""
         self.tally.on_client_lines(self._new_lines("clients"))
         known = len(self.tally.duplicates)
         for name in self.scenario.engine_names():
@@ -207,7 +243,7 @@
             self._add_finding(f"twice: load {number}", *load_timeline)
 
     def _new_lines(self, name: str) -> list[LogLine]:
-        """Return the complete lines that a log got since the last call."""
+        """Return the complete lines that were added to a log since the last call."""
         path = self.folder / f"{name}.jsonl"
         if not path.exists():
             return []
@@ -219,24 +255,24 @@
         self._bytes_read[name] = bytes_read + len(complete)
         lines = []
         for line in complete.splitlines():
-            with contextlib.suppress(ValueError):  # one that was being written as its process was killed
+            with contextlib.suppress(ValueError):  # a line that was cut short when its process was killed
                 lines.append(json.loads(line))
         return lines
 
     def _add_finding(self, what: str, *details: str) -> None:
-        """Note and print a finding, with its seed and timeline."""
+        """Record a finding, and print it with its seed and timeline."""
         self.findings.append(what)
-        where = f"seed {self.scenario.seed}, after cut {len(self.power_lost_at)}"
+        where = f"seed {self.scenario.seed}, after cut {len(self.power_loss_times)}"
         print(f"FOUND {where}: {what}", *details, sep="\n  ", flush=True)
 
     def _instances_up(self) -> tuple[str, ...]:
-        """The instances that are to be up since the last power loss."""
+        """Return the instances that were restarted after the last power loss, or all before the first one."""
         if self.power_losses:
             return self.power_losses[-1].order
         return tuple(self.scenario.instance_names())
 
-    async def _until_loads_run(self, since: float) -> None:
-        """Wait until loads begin at engines again."""
+    async def _wait_until_loads_run(self, since: float) -> None:
+        """Wait until a load begins at an engine; record the recovery time, or a finding if none begins."""
         deadline = time.monotonic() + SERVING_TIMEOUT_S
         while not any(e.began_at > since for load in self.tally.loads.values() for e in load.executions[-1:]):
             if time.monotonic() > deadline:
@@ -247,8 +283,8 @@
             self.read_logs()
         self.recovery_times_s.append(time.monotonic() - since)
 
-    async def _until_one_is_up(self, names: Sequence[str]) -> None:
-        """Wait until one of these instances is up."""
+    async def _wait_until_one_is_up(self, names: Sequence[str]) -> None:
+        """Wait until one of these instances responds at its local socket, or until the timeout."""
 
         def is_one_up() -> bool:
             return any(self.view(name) for name in names)
@@ -256,8 +292,8 @@
         with contextlib.suppress(ScenarioRunError):
             await self.until(is_one_up, "one instance is there")
 
-    async def _until_all_send_loads(self) -> None:
-        """Wait until all that are to be up are up and send loads; a finding if they do not."""
+    async def _wait_until_all_send_loads(self) -> None:
+        """Wait until all restarted instances run and send loads; add a finding if they do not."""
         names = self._instances_up()
 
         def do_all_send() -> bool:
@@ -273,7 +309,7 @@
             self._add_finding(f"not back: {error}", json.dumps(views))
 
     async def _restart(self, power_loss: PowerLoss) -> None:
-        """Start engines and instances as the power loss says."""
+        """Restart engines and instances in the order and at the times of the power loss."""
         start_at = time.monotonic() + max(0.0, -power_loss.engine_delay_s)
         starts = [(start_at + power_loss.engine_delay_s, "e*")]
         for name, gap_s in zip(power_loss.order, power_loss.gaps_s, strict=True):
@@ -286,34 +322,34 @@
     async def _wait_for_moment(
         self, power_loss: PowerLoss, restart: asyncio.Task[None], restarted_at: float
     ) -> None:
-        """Wait for the moment at which power is lost."""
+        """Wait until the moment of a power loss; stall the disks before it if it asks for that."""
         names = self._instances_up()
         if power_loss.moment is PowerLossMoment.RECOVERY:
-            await self._until_one_is_up(names)
+            await self._wait_until_one_is_up(names)
         elif power_loss.moment is not PowerLossMoment.START:
             await restart
-            await self._until_loads_run(restarted_at)
-        if power_loss.waits_for_rest:
+            await self._wait_until_loads_run(restarted_at)
+        if power_loss.waits_until_settled:
             await restart
-            await self._until_all_send_loads()
+            await self._wait_until_all_send_loads()
             if power_loss.backup:
                 self.machines.save_folder(power_loss.backup)
-            await asyncio.sleep(REST_S)
+            await asyncio.sleep(SETTLE_S)
         await asyncio.sleep(power_loss.delay_s)
         if power_loss.stalled_s:
             for name in names:
                 self.machines.set_disk(name, "stalled")
             await asyncio.sleep(power_loss.stalled_s)
 
-    def _cut_power(self, power_loss: PowerLoss) -> None:
-        """Kill everything, and change folders, clocks and disks as the power loss says."""
-        lost_at = time.monotonic()
-        self.fault_injector.cut_power("*")
+    def _inject_power_loss(self, power_loss: PowerLoss) -> None:
+        """Kill all processes, and change state folders, clocks and disks as the power loss specifies."""
+        killed_at = time.monotonic()
+        self.fault_injector.simulate_power_loss("*")
         self.read_logs()
-        self.tally.on_power_loss(lost_at)
-        self.power_lost_at.append(lost_at)
+        self.tally.on_power_loss(killed_at)
+        self.power_loss_times.append(killed_at)
         self.power_losses.append(power_loss)
-        self.timeline.append(f"{lost_at - self.started_at:8.2f} s  {power_loss}")
+        self.timeline.append(f"{killed_at - self.started_at:8.2f} s  {power_loss}")
         machines = self.machines
         for name, change in (
             (power_loss.emptied, machines.empty_folder),
@@ -329,7 +365,7 @@
             machines.set_disk(name, "well", leak=power_loss.leak_share, seed=seed)
 
     async def _watch_stalls(self) -> None:
-        """Note when this process is not scheduled."""
+        """Record the times in which this process was not scheduled."""
         while True:
             before = time.monotonic()
             await asyncio.sleep(STALL_CHECK_INTERVAL_S)
@@ -337,18 +373,19 @@
                 self.stalls.append((before, now))
 
     def _find_unanswered(self, until: float) -> None:
-        """Count attempts without an answer; those that no stall explains are findings."""
-        self.unanswered_count = len(unanswered(self.tally, self.power_lost_at, until))
-        for attempt in unanswered(self.tally, self.power_lost_at, until, self.stalls):
+        """Count attempts without an answer; add a finding for each that no stall of the harness explains."""
+        self.unanswered_count = len(unanswered(self.tally, self.power_loss_times, until))
+        for attempt in unanswered(self.tally, self.power_loss_times, until, self.stalls):
             is_sent_in_time = attempt.sent_at < attempt.started_at + MAX_SEND_DELAY_S
             if attempt.timeout_ms >= MIN_TIMEOUT_MS and is_sent_in_time:
                 where = f"ref {attempt.request_id} at n{attempt.instance}"
                 self._add_finding(f"no answer within {attempt.timeout_ms} ms: {where}")
 
     def _result(self) -> PowerLossRunResult:
-        ends = [*self.power_lost_at[1:], float("inf")]
+        ends = [*self.power_loss_times[1:], float("inf")]
         observed = [
-            observe_power_loss(self.tally, at, end) for at, end in zip(self.power_lost_at, ends, strict=True)
+            observe_power_loss(self.tally, at, end)
+            for at, end in zip(self.power_loss_times, ends, strict=True)
         ]
         return PowerLossRunResult(
             seed=self.scenario.seed,
--- a/cottonhold/emulator/fault_injection/power_loss_tally.py
+++ b/cottonhold/emulator/fault_injection/power_loss_tally.py
@@ -183,12 +183,12 @@
         for attempt in load.attempts
         if attempt.end in (None, RequestEnd.TIMED_OUT)
         and attempt.started_at < until
-        and not _is_near_power_loss(attempt, power_losses)
+        and not _overlaps_power_loss(attempt, power_losses)
         and not any(begin <= attempt.ended_at and end >= attempt.started_at for begin, end in stalls)
     ]
 
 
-def _is_near_power_loss(attempt: Attempt, power_losses: Sequence[float]) -> bool:
+def _overlaps_power_loss(attempt: Attempt, power_losses: Sequence[float]) -> bool:
     begin = attempt.started_at - POWER_LOSS_MARGIN_S
     return any(begin <= at <= attempt.ended_at + POWER_LOSS_MARGIN_S for at in power_losses)
 
--- a/cottonhold/emulator/fault_injection/power_losses.py
+++ b/cottonhold/emulator/fault_injection/power_losses.py
@@ -10,7 +10,7 @@
 ABSENCE_PROBABILITY, MAX_ABSENT_RETURNS = 0.12, 3
 BACKUP_PROBABILITY = 0.7  # of a backup that is put back, when a hold has passed
 EMPTIED_PROBABILITY, COPY_PROBABILITY = 0.08, 0.15
-MAX_RETURNS_UNTIL_REST = 2
+MAX_RETURNS_UNTIL_SETTLED = 2
 MAX_RETURNS_UNTIL_PUT_BACK = 4
 CLOCK_PROBABILITY = 0.1
 CLOCK_OFFSETS_S = (-94e6, -3600.0, 86400.0, 31e6)
@@ -66,7 +66,7 @@
     backup: str = ""
     clock_offsets_s: tuple[tuple[str, float], ...] = ()
     leak_share: float = 0.0
-    waits_for_rest: bool = False
+    waits_until_settled: bool = False
 
     def __str__(self) -> str:
         parts = [
@@ -120,7 +120,7 @@
     def _draw(self, number: int) -> PowerLoss:
         """Draw one. The order of the draws is part of what a seed means."""
         draw = self.random
-        waits_for_rest = self._pass_return()
+        waits_for_rest = self._advance_countdowns()
         self._draw_absence()
         backup = self._draw_backup() if waits_for_rest else ""
         folders = FolderChanges() if backup else self._draw_folders()
@@ -144,10 +144,10 @@
             backup=backup,
             clock_offsets_s=clock_offsets_s,
             leak_share=draw.choice(LEAK_SHARES),
-            waits_for_rest=waits_for_rest,
+            waits_until_settled=waits_for_rest,
         )
 
-    def _pass_return(self) -> bool:
+    def _advance_countdowns(self) -> bool:
         """Count the return after the last power loss; return whether the next one waits until all rest."""
         self.away = {name: remaining - 1 for name, remaining in self.away.items() if remaining > 1}
         if self.wrong_folder is None:
@@ -169,7 +169,7 @@
         if self.away or draw.random() >= BACKUP_PROBABILITY:
             return ""
         backup = draw.choice(self.instances)
-        self.wrong_folder = Countdown(backup, draw.randint(0, MAX_RETURNS_UNTIL_REST))
+        self.wrong_folder = Countdown(backup, draw.randint(0, MAX_RETURNS_UNTIL_SETTLED))
         self.copy = None
         return backup
 
@@ -183,11 +183,11 @@
                 return FolderChanges()
             self.copy = None
             if self.wrong_folder is None:
-                self.wrong_folder = Countdown(copy.instance, draw.randint(0, MAX_RETURNS_UNTIL_REST))
+                self.wrong_folder = Countdown(copy.instance, draw.randint(0, MAX_RETURNS_UNTIL_SETTLED))
                 return FolderChanges(restored=copy.instance)
         if self.wrong_folder is None and draw.random() < EMPTIED_PROBABILITY:
             emptied = draw.choice(present)
-            self.wrong_folder = Countdown(emptied, draw.randint(0, MAX_RETURNS_UNTIL_REST))
+            self.wrong_folder = Countdown(emptied, draw.randint(0, MAX_RETURNS_UNTIL_SETTLED))
             return FolderChanges(emptied=emptied)
         if draw.random() < COPY_PROBABILITY:
             copied = draw.choice(present)
--- a/cottonhold/emulator/fault_injection/processes.py
+++ b/cottonhold/emulator/fault_injection/processes.py
@@ -75,14 +75,14 @@
         }
         if not self._start_prepared(name, settings):
             program = ["-m", f"{PACKAGE}.engine", json.dumps(settings)]
-            self._start_and_keep(name, program, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+            self._start_and_register(name, program, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
 
     def start_instance(self, name: str) -> None:
         """Start an instance at its addresses; its state is what its machine's folder holds."""
         path = self._write_config(name, self.config_of(name))
         machine = self.machines.start(name) if self.scenario.has_state_folders else {}
         if not self._start_prepared(name, [str(path), machine]):
-            self._start_and_keep(name, self._instance_program(name, path))
+            self._start_and_register(name, self._instance_program(name, path))
 
     def start_duplicate(self, name: str) -> None:
         """Start a second process on an instance's state folder, at other ports. No peer knows its address, so
@@ -94,12 +94,12 @@
         config |= {"listen": f"127.0.0.1:{client_port}", "status_socket": f"{duplicate}.sock"}
         config["peers"] |= {"listen": f"127.0.0.1:{peer_port}"}
         path = self._write_config(duplicate, config)
-        self._start_and_keep(duplicate, self._instance_program(name, path))
+        self._start_and_register(duplicate, self._instance_program(name, path))
 
     def start_clients(self, settings: dict[str, Any]) -> Process:
         """Start the process that plays all clients."""
         program = ["-m", f"{PACKAGE}.clients", json.dumps(settings)]
-        return self._start_and_keep("clients", program, stdout=subprocess.PIPE)
+        return self._start_and_register("clients", program, stdout=subprocess.PIPE)
 
     def prepare(self, name: str) -> None:
         """Load the program of a process that a later fault starts; only with state folders and without forks.
@@ -119,7 +119,7 @@
 
     def _is_started_by_a_fault(self, name: str) -> bool:
         return any(
-            fault.verb == "start" and name in self.scenario.pick(fault.target)
+            fault.verb == "start" and name in self.scenario.resolve_target(fault.target)
             for fault in self.scenario.faults
         )
 
@@ -152,7 +152,7 @@
             return ["-m", "cottonhold.cli.main", "serve", "--config", str(path)]
         return ["-m", f"{PACKAGE}.instance", str(path), json.dumps(self.machines.start(name))]
 
-    def _start_and_keep(self, name: str, program: list[str], **streams: Any) -> Process:
+    def _start_and_register(self, name: str, program: list[str], **streams: Any) -> Process:
         process = self.by_name[name] = self._start_process(name, program, **streams)
         return process
 
--- a/cottonhold/emulator/fault_injection/projection_check.py
+++ b/cottonhold/emulator/fault_injection/projection_check.py
@@ -1,7 +1,7 @@
-"""What was projected of a zone's loss, against what was observed. Pure.
+"""Compares the projected cost of a zone's outage with the observed cost. Pure.
 
-The projection is the zone's row of the failover costs, from an instance's local socket in the second before
-the fault. It holds only where the zone is lost whole, and alone.
+The projection is the zone's row of the failover costs, which the harness read from an instance's local socket
+in the second before the fault. It applies only if all engines of the zone fail and no others.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.zone_distances import zone_of
 
-USUAL_FROM_S = 2.0  # after the start of the load, what is usual is measured up to the fault
-# After the fault: by then requests that broke with the zone have been retried, and the fleet has left it. The
-# projection counts cold work for five seconds.
+BASELINE_FROM_S = 2.0  # after the start of the load; the baseline is measured from then until the fault
+# One second after the fault, interrupted requests have been retried and the fleet has evacuated the zone. The
+# projection includes the work on cold data sets of the first five seconds.
 OBSERVED_FROM_S, OBSERVED_SPAN_S = 1.0, 5.0
 UTILITY_TOLERANCE = 0.05  # absolute
-RELATIVE_TOLERANCE = 0.25  # of the added latency and extra work, as a part of what was observed
+RELATIVE_TOLERANCE = 0.25  # of the added latency and extra work, relative to the observed values
 TOLERANCES = {"worth": UTILITY_TOLERANCE, "added": RELATIVE_TOLERANCE, "extra": RELATIVE_TOLERANCE}
 MIN_DIVISOR = 1e-9
 FAILING_VERBS = {"power", "kill"}
@@ -37,7 +37,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ServedWork:
-    """Work of one client zone that was served in one zone. latency_ms: mean of the round trips by work."""
+    """Work that clients of one zone had served in one zone.
+
+    Attributes:
+        cores: Work per time, in cores.
+        latency_ms: Mean round trip, weighted by work, in ms.
+    """
 
     cores: float
     latency_ms: float
@@ -48,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Span:
-    """A time of the run, in seconds of the logs' clock."""
+    """A time span of the run, in seconds of the logs' clock."""
 
     begin: float
     end: float
@@ -58,29 +63,37 @@
 
     @property
     def core_ms(self) -> float:
-        """The work that one core does in this time."""
+        """The work that one core does in this time, in ms."""
         return 1000 * (self.end - self.begin)
 
 
 def has_projection(scenario: Scenario) -> bool:
-    """Return whether a projection holds: all engines of the failing zone are lost at once, and no others."""
+    """Return whether the projection applies: all engines of the failing zone fail together, no others."""
     at = scenario.outage_at_s
-    lost = {
+    failed_processes = {
         name
         for fault in scenario.faults
         if fault.verb in FAILING_VERBS and fault.at_s == at
-        for name in scenario.pick(fault.target)
+        for name in scenario.resolve_target(fault.target)
     }
     other_verbs = {fault.verb for fault in scenario.faults if fault.at_s <= at} - FAILING_VERBS - {"peers"}
-    return bool(at) and lost == set(scenario.pick(scenario.failing_zone)) and not other_verbs
+    return (
+        bool(at)
+        and failed_processes == set(scenario.resolve_target(scenario.failing_zone))
+        and not other_verbs
+    )
 
 
 def measure_projection(history: RunHistory, verdict: Verdict) -> None:
-    """Measure figures `told_` (projected), `came_` (observed) and `off_` (their difference).
+    """Measure the figures `told_*` (projected), `came_*` (observed) and `off_*` (their difference).
+
+    The names end in:
+        worth: Utility served, as a share of the utility requested.
+        added: Added latency, in ms; the mean over the work that moved to other zones.
+        extra: Additional work on cold data sets, in cores.
 
-    worth: the utility, as a part of what is requested. added: ms of latency on top, mean of the work that
-    moved. extra: cores of cold work more than before. off_added, off_extra: as parts of what was observed.
-    Needs the series of utility requested.
+    `off_added` and `off_extra` are relative to the observed values. The verdict must contain the series of
+    `measure_offered`.
     """
     row = history.logs.projected_costs.get(history.scenario.failing_zone)
     if not row or not has_projection(history.scenario):
@@ -105,7 +118,7 @@
 def _observed(history: RunHistory, verdict: Verdict) -> dict[str, float]:
     started_at, outage_at_s = history.logs.load_started_at, history.scenario.outage_at_s
     fault_at = started_at + outage_at_s
-    usual = Span(started_at + USUAL_FROM_S, fault_at)
+    usual = Span(started_at + BASELINE_FROM_S, fault_at)
     after = Span(fault_at + OBSERVED_FROM_S, fault_at + OBSERVED_FROM_S + OBSERVED_SPAN_S)
     begin_s = outage_at_s + OBSERVED_FROM_S
     return {
@@ -116,14 +129,15 @@
 
 
 def missed_projections(verdict: Verdict) -> list[str]:
-    """Return what was projected and is off by more than its tolerance, as lines of text."""
+    """Return a line of text for each projected figure that differs by more than its tolerance."""
     lines = []
     for name, limit in TOLERANCES.items():
         difference = verdict.figures.get(f"off_{name}", 0.0)
         if not difference <= limit:
-            told, came = verdict.figures[f"told_{name}"], verdict.figures[f"came_{name}"]
+            projected, observed = verdict.figures[f"told_{name}"], verdict.figures[f"came_{name}"]
             lines.append(
-                f"foretold {name} {told:.3g}, came {came:.3g}: off by {difference:.2f}, limit {limit}"
+                f"foretold {name} {projected:.3g}, came {observed:.3g}: "
+                f"off by {difference:.2f}, limit {limit}"
             )
     return lines
 
@@ -135,7 +149,7 @@
 
 
 def _served_work(history: RunHistory, span: Span) -> dict[tuple[str, str], ServedWork]:
-    """Return what was served of what ended in a time."""
+    """Return the work of the requests that were served within a time span, by client zone and engine zone."""
     work_ms: dict[tuple[str, str], float] = {}
     weighted_ms: dict[tuple[str, str], float] = {}
     for request_id, request in history.requests.items():
@@ -160,7 +174,7 @@
 
 
 def added_latency_ms(before: ServedByZone, after: ServedByZone) -> float:
-    """Return the mean latency on top of the usual one, over the work that moved."""
+    """Return the mean latency added to the baseline, in ms, over the work that moved to other zones."""
     moved_cores, weighted_ms = 0.0, 0.0
     for (zone, served_in), work in after.items():
         usual = [row for (home, _), row in before.items() if home == zone]
@@ -179,7 +193,7 @@
 
 
 def _cold_cores(history: RunHistory, span: Span) -> float:
-    """Return the cores of work that cold data sets took on top."""
+    """Return the additional work that cold data sets caused, in cores."""
     extra_share = decode_traits(history.scenario.engine_traits).cold_data_set_factor - 1.0
     work_ms = math.fsum(
         execution.work_ms
--- a/cottonhold/emulator/fault_injection/recovery_scenarios.py
+++ b/cottonhold/emulator/fault_injection/recovery_scenarios.py
@@ -12,7 +12,7 @@
 from cottonhold.emulator.fault_injection.client_model import ClientBehaviour, RequestClass
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
-POWER_LOST_AT_S, POWER_RESTORED_AT_S = 6.0, 8.0
+POWER_LOSS_AT_S, POWER_RESTORED_AT_S = 6.0, 8.0
 START_INTERVAL_S = 0.5  # from one instance's start to the next one's
 LOADS_AND_READS = (
     RequestClass("cheap", 0.5, 2000.0, 20.0),
@@ -32,7 +32,7 @@
 
 
 def recovery_scenario(
-    name: str, description: str, *faults: Fault, power_lost_at_s: float = POWER_LOST_AT_S, **fields: Any
+    name: str, description: str, *faults: Fault, power_loss_at_s: float = POWER_LOSS_AT_S, **fields: Any
 ) -> Scenario:
     """Return a scenario in which all lose power; the faults say what returns, and when."""
     defaults: dict[str, Any] = {
@@ -43,7 +43,7 @@
         "has_state_folders": True,
         "power_restored_at_s": POWER_RESTORED_AT_S,
     }
-    first = Fault(power_lost_at_s, "power", "*")
+    first = Fault(power_loss_at_s, "power", "*")
     return Scenario(name=name, description=description, faults=(first, *faults), **(defaults | fields))
 
 
@@ -54,14 +54,16 @@
 HEAVY = tuple(RequestClass(k.name, k.share, k.patience_ms, 60.0, k.is_load) for k in LOADS_AND_READS)
 
 
-def repeated_power_losses(*cuts: float) -> tuple[Fault, ...]:
+def repeated_power_losses(*times_s: float) -> tuple[Fault, ...]:
     """Cut the power at such times too, each time for a second. An instance whose start would be due while
     there is no power is not started."""
-    power_cuts = [Fault(at, "power", "*") for at in cuts]
-    engine_starts = [Fault(at + 1.0, "start", "e*") for at in cuts]
-    instance_starts = [*starts(), *(fault for at in cuts for fault in starts(begin=at + 1.0))]
-    with_power = [fault for fault in instance_starts if not any(at <= fault.at_s < at + 1.0 for at in cuts)]
-    return (ENGINES_START, *power_cuts, *engine_starts, *with_power)
+    power_losses = [Fault(at, "power", "*") for at in times_s]
+    engine_starts = [Fault(at + 1.0, "start", "e*") for at in times_s]
+    instance_starts = [*starts(), *(fault for at in times_s for fault in starts(begin=at + 1.0))]
+    with_power = [
+        fault for fault in instance_starts if not any(at <= fault.at_s < at + 1.0 for at in times_s)
+    ]
+    return (ENGINES_START, *power_losses, *engine_starts, *with_power)
 
 
 SCENARIOS = [
@@ -118,7 +120,7 @@
     recovery_scenario(
         "recover-source-last",
         "the source of the list is back after all others",
-        Fault(POWER_LOST_AT_S, "source", "n*", options={"cut": True}),
+        Fault(POWER_LOSS_AT_S, "source", "n*", options={"cut": True}),
         *ONE_BY_ONE,
         Fault(POWER_RESTORED_AT_S + 6.0, "source", "n*", options={"heal": True}),
         has_consul=True,
@@ -135,8 +137,8 @@
     recovery_scenario(
         "recover-lossy",
         "30% of datagrams are lost and halves cut while all come back",
-        Fault(POWER_LOST_AT_S, "peers", "n*", "n*", {"loss": 0.3}),
-        Fault(POWER_LOST_AT_S + 1.0, "peers", "n0-2", "n3-5", {"cut": True}),
+        Fault(POWER_LOSS_AT_S, "peers", "n*", "n*", {"loss": 0.3}),
+        Fault(POWER_LOSS_AT_S + 1.0, "peers", "n0-2", "n3-5", {"cut": True}),
         *ONE_BY_ONE,
         Fault(POWER_RESTORED_AT_S + 5.0, "peers", "n0-2", "n3-5", {"loss": 0.3}),
     ),
@@ -170,7 +172,7 @@
         "a small fleet is killed at once and comes back: for every run of the tests",
         Fault(5.0, "start", "e*"),
         *starts(range(3), 5.0, 0.3),
-        power_lost_at_s=3.5,
+        power_loss_at_s=3.5,
         duration_s=13.0,
         power_restored_at_s=5.0,
         instances=3,
--- a/cottonhold/emulator/fault_injection/replacement_scenarios.py
+++ b/cottonhold/emulator/fault_injection/replacement_scenarios.py
@@ -29,13 +29,15 @@
     return Scenario(name=name, description=description, faults=faults, **(defaults | fields))
 
 
-def one_by_one(verb: str, *verbs_while_out: str, count: int = 6) -> tuple[Fault, ...]:
+def one_by_one(verb: str, *verbs_during_absence: str, count: int = 6) -> tuple[Fault, ...]:
     """Take each instance out by a verb and start it again; further verbs are applied while it is out."""
     faults = []
     for i in range(count):
         at, name = FIRST_AT_S + INTERVAL_S * i, f"n{i}"
         faults.append(Fault(at, verb, name))
-        faults += [Fault(at + ABSENCE_S - 0.1, verb_while_out, name) for verb_while_out in verbs_while_out]
+        faults += [
+            Fault(at + ABSENCE_S - 0.1, verb_while_out, name) for verb_while_out in verbs_during_absence
+        ]
         faults.append(Fault(at + ABSENCE_S, "start", name))
     return tuple(faults)
 
--- a/cottonhold/emulator/fault_injection/request_rules.py
+++ b/cottonhold/emulator/fault_injection/request_rules.py
@@ -24,8 +24,8 @@
 # An engine answers so if it has done nothing: the load may be sent again.
 NOT_STARTED = ("overload", "nobody")
 # What cuts an instance from announcements, and what ends that.
-UNREACHABLE_FROM = (MarkVerb.SOURCE_CUT, MarkVerb.STOP, MarkVerb.KILL)
-REACHABLE_FROM = (MarkVerb.SOURCE_HEALED, MarkVerb.CONTINUE, MarkVerb.START)
+UNREACHABLE_FROM = (MarkVerb.SOURCE_DISCONNECTED, MarkVerb.STOP, MarkVerb.KILL)
+REACHABLE_FROM = (MarkVerb.SOURCE_RECONNECTED, MarkVerb.CONTINUE, MarkVerb.START)
 
 
 def is_disturbed(logs: RunLogs, name: str, begin: float, end: float) -> bool:
--- a/cottonhold/emulator/fault_injection/scenarios.py
+++ b/cottonhold/emulator/fault_injection/scenarios.py
@@ -27,7 +27,7 @@
     return Scenario(name=name, description=description, faults=faults, **(defaults | fields))
 
 
-def killed(target: str = "a") -> tuple[Fault, Fault]:
+def kill_and_restart(target: str = "a") -> tuple[Fault, Fault]:
     """Kill engines, and start them again."""
     return Fault(OUTAGE_AT_S, "kill", target), Fault(RECOVERED_AT_S, "start", target)
 
@@ -36,12 +36,12 @@
     Fault(OUTAGE_AT_S, "traits", "a", options={"slow": 10}),
     Fault(RECOVERED_AT_S, "traits", "a", options={"slow": 1}),
 )
-CUT = {"cut": True}
-HEAL = {"heal": True}
+DISCONNECT = {"cut": True}
+RECONNECT = {"heal": True}
 
 SCENARIOS = [
     Scenario(name="calm", description="nothing fails", duration_s=12.0),
-    zone_scenario("zone-killed", "a zone is killed and returns cold", *killed()),
+    zone_scenario("zone-killed", "a zone is killed and returns cold", *kill_and_restart()),
     zone_scenario(
         "zone-silent",
         "a zone stalls and goes on",
@@ -71,7 +71,7 @@
     zone_scenario(
         "returns-and-falls",
         "a killed zone falls again a second after its return",
-        *killed(),
+        *kill_and_restart(),
         Fault(RECOVERED_AT_S + 1.5, "kill", "a"),
         Fault(RECOVERED_AT_S + 4.0, "start", "a"),
         duration_s=32.0,
@@ -79,14 +79,14 @@
     zone_scenario(
         "one-link",
         "one instance's way to a zone is cut",
-        Fault(OUTAGE_AT_S, "link", "n5", "a", CUT),
-        Fault(RECOVERED_AT_S, "link", "n5", "a", HEAL),
+        Fault(OUTAGE_AT_S, "link", "n5", "a", DISCONNECT),
+        Fault(RECOVERED_AT_S, "link", "n5", "a", RECONNECT),
     ),
     zone_scenario(
         "half-cut",
         "a zone is cut from one half of the fleet",
-        Fault(OUTAGE_AT_S, "link", "n0-2", "a", CUT),
-        Fault(RECOVERED_AT_S, "link", "n0-2", "a", HEAL),
+        Fault(OUTAGE_AT_S, "link", "n0-2", "a", DISCONNECT),
+        Fault(RECOVERED_AT_S, "link", "n0-2", "a", RECONNECT),
     ),
     zone_scenario(
         "lossy-words",
@@ -109,9 +109,9 @@
     zone_scenario(
         "two-halves",
         "datagrams are cut between two halves, and a zone is killed",
-        Fault(OUTAGE_AT_S - 1.0, "peers", "n0-2", "n3-5", CUT),
-        *killed(),
-        Fault(RECOVERED_AT_S + 3.0, "peers", "n0-2", "n3-5", HEAL),
+        Fault(OUTAGE_AT_S - 1.0, "peers", "n0-2", "n3-5", DISCONNECT),
+        *kill_and_restart(),
+        Fault(RECOVERED_AT_S + 3.0, "peers", "n0-2", "n3-5", RECONNECT),
     ),
     zone_scenario(
         "three-of-eight",
@@ -142,12 +142,14 @@
         *(Fault(20.0 + i, "replay") for i in range(3)),
         duration_s=26.0,
     ),
-    zone_scenario("too-small", "the zones that remain can't carry all", *killed(), requests_per_s=400.0),
+    zone_scenario(
+        "too-small", "the zones that remain can't carry all", *kill_and_restart(), requests_per_s=400.0
+    ),
     zone_scenario(
         "storm",
         "two of three zones are killed at 380 a second, and clients come again",
-        *killed("a"),
-        *killed("b"),
+        *kill_and_restart("a"),
+        *kill_and_restart("b"),
         requests_per_s=380.0,
         client_behaviour=ClientBehaviour(max_attempts=3),
         duration_s=30.0,
@@ -158,10 +160,10 @@
         *SLOW,
         Fault(OUTAGE_AT_S - 1.0, "drain", "b0"),
         Fault(OUTAGE_AT_S + 1.0, "drain", "c1"),
-        Fault(OUTAGE_AT_S + 2.0, "source", "n4", options=CUT),
+        Fault(OUTAGE_AT_S + 2.0, "source", "n4", options=DISCONNECT),
         Fault(OUTAGE_AT_S + 3.0, "undrain", "b0"),
         Fault(OUTAGE_AT_S + 4.0, "drain", "b1"),
-        Fault(OUTAGE_AT_S + 6.0, "source", "n4", options=HEAL),
+        Fault(OUTAGE_AT_S + 6.0, "source", "n4", options=RECONNECT),
         Fault(RECOVERED_AT_S + 2.0, "undrain", "c1"),
         Fault(RECOVERED_AT_S + 3.0, "drain", "a1"),
         has_consul=True,
@@ -171,11 +173,11 @@
         "loads",
         "loads on keys while answers are lost, connections reset and engines killed",
         Fault(4.0, "link", "n0-2", "a", {"back": True}),
-        Fault(7.0, "link", "n0-2", "a", HEAL),
+        Fault(7.0, "link", "n0-2", "a", RECONNECT),
         Fault(8.0, "kill", "b1"),
         Fault(10.0, "start", "b1"),
         Fault(11.0, "link", "n3-5", "c0", {"reset": True}),
-        Fault(13.0, "link", "n3-5", "c0", HEAL),
+        Fault(13.0, "link", "n3-5", "c0", RECONNECT),
         Fault(14.0, "kill", "n4"),
         Fault(16.0, "start", "n4"),
         request_classes=(
@@ -245,7 +247,7 @@
         "overload-halves",
         "twice, and datagrams are cut between two halves",
         2.0,
-        Fault(5.0, "peers", "n0-2", "n3-5", CUT),
+        Fault(5.0, "peers", "n0-2", "n3-5", DISCONNECT),
     ),
     overload_scenario(
         "overload-killed",
@@ -265,15 +267,15 @@
         "overload-back",
         "two of three zones are killed at 0.84 of what all can do, and come back",
         0.84,
-        *killed("a"),
-        *killed("b"),
+        *kill_and_restart("a"),
+        *kill_and_restart("b"),
         duration_s=24.0,
         outage_at_s=OUTAGE_AT_S,
         recovered_at_s=RECOVERED_AT_S,
     ),
 ]
 SCENARIOS += [*RECOVERY_SCENARIOS, *FAILOVER_COST_SCENARIOS, *REPLACEMENT_SCENARIOS]
-SHORT = ("recover-short", "outlook-short", "swap-short")  # for every run of the tests
+SHORT_SCENARIOS = ("recover-short", "outlook-short", "swap-short")  # for every run of the tests
 BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 
 
--- a/cottonhold/emulator/fault_injection/script.py
+++ b/cottonhold/emulator/fault_injection/script.py
@@ -1,26 +1,27 @@
-"""A scenario as values: the deployment, its load, and faults by time. Pure; kept as JSON, read again.
-
-A fault's `target` names what it is about: an instance (`n3`), several (`n0-2`), an engine (`a1`), the
-engines of a zone (`a`), all hosts of a zone, instances too (`zone-a`), all instances (`n*`) or engines
-(`e*`), or `*`. Verbs and their options:
-
-    traits ENGINES name=value ...       changes traits of engines; see engine_traits.py
-    kill|start|stop|go PROCESSES        SIGKILL; a new process; SIGSTOP; SIGCONT
-    end PROCESSES within=S              SIGTERM; SIGKILL if it takes longer than `within` seconds
-    power PROCESSES                     SIGKILL for all of them in the same instant
-    keep|empty|old INSTANCES            their state folders are copied; emptied; replaced by the copy
-    twice INSTANCE                      a second process on the same state folder, at other ports
-    disk INSTANCES state=S              full, failing, stalled or well
-    clock INSTANCES offset_s=S          the machine's wall clock is off by so much from the next start on
-    link INSTANCES ENGINES state ...    instance to engine: cut, forth, back (one way), refuse, reset, heal
-    door INSTANCES state ...            client to instance
-    source INSTANCES state ...          source of the engine list to instance; needs `consul`
-    drain|undrain ENGINES               announced by the source of the engine list; needs `consul`
-    peers INSTANCES INSTANCES state ... datagrams both ways, or `forth`: cut, loss, twice, delay, jitter
-    forge INSTANCE zone=Z               reports are forged in the instance's name, with the key, from now on
-    replay                              recent datagrams are sent again, out of order
-    order INSTANCE zone=Z mode=M        an operator's override at its local socket
-    swap INSTANCE machines=M gone=S empty   a rolling replacement is requested there; see operators.py
+"""Scenarios as values: the deployment, its load, and timed faults. Pure; stored as JSON.
+
+The `target` of a fault is an instance (`n3`), a range of instances (`n0-2`), an engine (`a1`), the engines of
+a zone (`a`), the engines and instances of a zone (`zone-a`), all instances (`n*`), all engines (`e*`), or all
+processes (`*`). Verbs and their options:
+
+    traits ENGINES name=value ...       change traits of engines; see engine_traits.py
+    kill|start|stop|go PROCESSES        send SIGKILL; start a new process; send SIGSTOP; send SIGCONT
+    end PROCESSES within=S              send SIGTERM, and SIGKILL after `within` seconds
+    power PROCESSES                     send SIGKILL to all of them simultaneously
+    keep|empty|old INSTANCES            copy their state folders; empty them; replace them by the copy
+    twice INSTANCE                      start a second process on the same state folder, at other ports
+    disk INSTANCES state=S              set the disk's state: full, failing, stalled or well
+    clock INSTANCES offset_s=S          shift the machine's wall clock by S seconds from the next start on
+    link INSTANCES ENGINES state ...    instance to engine: cut, forth or back (one way), refuse, reset, heal
+    door INSTANCES state ...            client to instance, with the states of `link`
+    source INSTANCES state ...          instance to source of the engine list; needs `consul`
+    drain|undrain ENGINES               announce a drain by the source of the engine list; needs `consul`
+    peers INSTANCES INSTANCES state ... datagrams both ways, or one way with `forth`: cut, loss, twice, delay,
+                                        jitter
+    forge INSTANCE zone=Z               forge reports in the instance's name, signed with the shared key
+    replay                              send recent datagrams again, out of order
+    order INSTANCE zone=Z mode=M        issue an operator's override at the instance's local socket
+    swap INSTANCE machines=M gone=S empty   request a rolling replacement; see operators.py
 """
 
 from __future__ import annotations
@@ -40,15 +41,23 @@
 DISK_STATES = ("full", "failing", "stalled", "well")
 MAX_INSTANCES, MAX_ENGINES = 16, 64
 MAX_DURATION_S, MAX_REQUESTS_PER_S = 600, 5000
-MIN_VOTING_INSTANCES = 3  # that can agree while one of them is replaced
+MIN_VOTING_INSTANCES = 3  # two of them are a majority while the third is replaced
 
 
 class ScriptError(Exception):
-    """A scenario that cannot be played, with what is wrong in it."""
+    """Raised for an invalid scenario; the text names the problem."""
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What happens at a time, in seconds from the start of the load."""
+    """A fault to inject.
+
+    Attributes:
+        at_s: Time of the fault, in seconds from the start of the load.
+        verb: Kind of fault; the module's docstring lists the verbs.
+        target: Processes that the fault affects.
+        other: Processes at the other end, for the verbs `link` and `peers`.
+        options: Options of the verb, by name; True for an option without a value.
+    """
 
     at_s: float = field(name="at")
     verb: str
@@ -67,14 +76,41 @@
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A deployment, a load and its faults.
 
-    requests_per_s: over all instances. rate_steps: (seconds, factor of the rate) from then on. utilities: by
-    class. failing_zone, outage_at_s, recovered_at_s: a zone, and when it was out and well again, for figures
-    about its outage. power_restored_at_s: likewise, for figures about the recovery. instance_zones: of each
-    instance; empty: they stand in no zone. zone_distances_ms: one way, by pairs as "a-b"; needs instance
-    zones. has_state_folders: each instance has one, on a disk that loses what was not synced. has_consul: the
-    engine list comes from a stand-in Consul of each instance's own, else from its configuration.
-    has_affinity: loads of a key go through one instance, and migrate at a replacement; needs state folders.
-    orders_across: the order of loads on a key is a rule over all instances.
+    Times are in seconds from the start of the load.
+
+    Attributes:
+        name: Name of the scenario.
+        description: Description in a few words.
+        seed: Seed of all random choices.
+        instances: Number of instances.
+        zones: Names of the zones that contain engines.
+        engines_per_zone: Number of engines in each zone.
+        requests_per_s: Request rate over all instances.
+        duration_s: Duration of the load.
+        instance_weights: Relative share of the clients that each instance receives.
+        request_classes: Classes of requests, with their shares.
+        utilities: Utility of a served request, by class.
+        client_behaviour: How clients retry and detect failures.
+        engine_traits: Initial traits of all engines, by their names in a scenario.
+        has_fleet: Whether the configuration has the section `fleet`.
+        has_admission: Whether the fleet's shared admission control is on.
+        has_failover_cost: Whether instances project the cost of failovers. It takes effect only with
+            `has_fleet`, `has_admission` and `instance_zones`.
+        has_consul: Whether each instance reads the engine list from its own emulated Consul instead of its
+            configuration.
+        failing_zone: Zone that the outage figures describe.
+        outage_at_s: Start of that zone's outage; 0 for none.
+        recovered_at_s: End of that zone's outage.
+        power_restored_at_s: Time of the restart after a power loss, for the recovery figures; 0 for none.
+        has_state_folders: Whether each instance has a state folder, on a disk that loses unsynced writes.
+        key_count: Number of ordering keys that loads use.
+        has_affinity: Whether all loads of a key are sent by one instance and the key migrates when that
+            instance is replaced; needs state folders.
+        orders_across: Whether the order of loads on a key is checked across all instances.
+        instance_zones: Zone of each instance; empty if instances belong to no zone.
+        zone_distances_ms: One-way delay between zones, by pairs such as "a-b"; needs `instance_zones`.
+        rate_steps: Pairs of a time and the factor that the request rate has from then on.
+        faults: Faults to inject.
     """
 
     name: str
@@ -94,13 +130,13 @@
         name="worth", default_factory=lambda: {"cheap": 1.0, "dear": 6.0, "load": 6.0}
     )
     client_behaviour: ClientBehaviour = field(name="manner", default=ClientBehaviour())
-    # A cold engine that gets more work within 1.5 s than twice what it could do then stops for good.
+    # A cold engine stops responding for good if it receives more than 1000 ms of work within 1.5 s, which is
+    # twice what it can do in that time; the limit grows with the engine's speed.
     engine_traits: dict[str, Any] = field(
         name="traits", default_factory=lambda: {"tip": 1000.0, "tip_window": 1500.0}
     )
     has_fleet: bool = field(name="fleet", default=True)
     has_admission: bool = field(name="price", default=False)
-    # Where the fleet, its admission and instance zones are there.
     has_failover_cost: bool = field(name="outlook", default=True)
     has_consul: bool = field(name="consul", default=False)
     failing_zone: str = field(name="zone", default="a")
@@ -117,20 +153,24 @@
     faults: tuple[Fault, ...] = ()
 
     def engine_names(self) -> list[str]:
-        """Return all engines, zone by zone."""
+        """Return the names of all engines, zone by zone."""
         return [f"{zone}{i}" for zone in self.zones for i in range(self.engines_per_zone)]
 
     def instance_names(self) -> list[str]:
-        """Return all instances."""
+        """Return the names of all instances."""
         return [f"n{i}" for i in range(self.instances)]
 
     def instances_of(self, zone: str) -> list[str]:
-        """Return the instances that stand in a zone."""
+        """Return the names of the instances in a zone."""
         pairs = zip(self.instance_names(), self.instance_zones, strict=False)
         return [name for name, instance_zone in pairs if instance_zone == zone]
 
-    def pick(self, target: str) -> list[str]:
-        """Return the processes that a target names. Raises ScriptError."""
+    def resolve_target(self, target: str) -> list[str]:
+        """Return the names of the processes that a target selects.
+
+        Raises:
+            ScriptError: The target selects no process.
+        """
         names = [*self.instance_names(), *self.engine_names()]
         if target == "*":
             return names
@@ -139,7 +179,7 @@
         if target == "e*":
             return self.engine_names()
         if target.startswith("zone-") and target[5:] in self.zones:
-            return [*self.instances_of(target[5:]), *self.pick(target[5:])]
+            return [*self.instances_of(target[5:]), *self.resolve_target(target[5:])]
         if target in names:
             return [target]
         if target in self.zones:
@@ -151,12 +191,16 @@
         raise self.error(f"'{target}' names no process")
 
     def error(self, problem: str) -> ScriptError:
-        """Return the error of this scenario that has such a problem."""
+        """Return an error that names this scenario and the problem."""
         return ScriptError(f"day '{self.name}': {problem}")
 
 
 def check_scenario(scenario: Scenario) -> Scenario:
-    """Return the scenario if it can be played. Raises ScriptError."""
+    """Return the scenario unchanged if it is valid.
+
+    Raises:
+        ScriptError: The scenario is invalid.
+    """
     engines = len(scenario.zones) * scenario.engines_per_zone
     if not 1 <= scenario.instances <= MAX_INSTANCES or not 1 <= engines <= MAX_ENGINES:
         raise scenario.error("1 to 16 instances and 1 to 64 engines can be played")
@@ -193,7 +237,7 @@
     if fault.verb not in VERBS | SOURCE_VERBS | STATE_FOLDER_VERBS:
         raise scenario.error(f"there is no verb '{fault.verb}'")
     for target in (fault.target, fault.other):
-        scenario.pick(target)
+        scenario.resolve_target(target)
 
 
 def encode_scenario(scenario: Scenario) -> bytes:
@@ -202,7 +246,11 @@
 
 
 def decode_scenario(data: bytes) -> Scenario:
-    """Return a scenario from its JSON. Raises ScriptError."""
+    """Return a scenario from its JSON.
+
+    Raises:
+        ScriptError: The JSON is malformed, or the scenario is invalid.
+    """
     try:
         return check_scenario(msgspec.json.decode(data, type=Scenario))
     except msgspec.MsgspecError as error:
--- a/cottonhold/emulator/fault_injection/send_figures.py
+++ b/cottonhold/emulator/fault_injection/send_figures.py
@@ -12,7 +12,7 @@
 
 MIN_REQUESTS = 100  # of a class at an instance, for it to be compared with others
 FULL_SHARE = 0.8  # of its usual share: a zone that has returned in full
-RETURN_SPAN_S = 1.0  # the share of a zone that returns is measured over this time
+RETURN_WINDOW_S = 1.0  # the share of a zone that returns is measured over this time
 MIN_OUTAGE_S = 3.5  # for a share from the third second of the outage on
 
 
@@ -52,9 +52,9 @@
     figures["share_out_0_1s"] = share(outage_at, outage_at + 1.0)
     figures["share_out_1_3s"] = share(outage_at + 1.0, outage_at + 3.0)
     figures["share_out_3s_on"] = share(outage_at + 3.0, recovered_at) if is_long else 0.0
-    figures["share_back_first_s"] = share(recovered_at, recovered_at + RETURN_SPAN_S)
-    times = _steps(recovered_at, scenario.duration_s - RETURN_SPAN_S, BIN_S)
-    shares = [share(time, time + RETURN_SPAN_S) for time in times]
+    figures["share_back_first_s"] = share(recovered_at, recovered_at + RETURN_WINDOW_S)
+    times = _steps(recovered_at, scenario.duration_s - RETURN_WINDOW_S, BIN_S)
+    shares = [share(time, time + RETURN_WINDOW_S) for time in times]
     figures["share_back_most"] = max(shares, default=0.0)
     full_at = [
         time for time, zone_share in zip(times, shares, strict=True) if zone_share >= FULL_SHARE * usual_share
--- a/cottonhold/emulator/fault_injection/utility_figures.py
+++ b/cottonhold/emulator/fault_injection/utility_figures.py
@@ -26,10 +26,10 @@
 PERCENTILES = (50, 99)
 
 
-def ratio(part: list[float], whole: list[float], begin: int = 0, end: int | None = None) -> float:
+def ratio(numerator: list[float], denominator: list[float], begin: int = 0, end: int | None = None) -> float:
     """Return the sum of some steps of a series as a part of the sum of another's; 1 if that is nothing."""
-    total = sum(whole[begin:end])
-    return sum(part[begin:end]) / total if total else 1.0
+    total = sum(denominator[begin:end])
+    return sum(numerator[begin:end]) / total if total else 1.0
 
 
 def first_attempts(requests: Mapping[str, RequestLog]) -> dict[int, RequestLog]:
@@ -176,10 +176,10 @@
     verdict.figures["worth_of_asked"] = ratio(served, offered)
     if scenario.outage_at_s:
         begin, end = int(scenario.outage_at_s / BIN_S), int(scenario.recovered_at_s / BIN_S)
-        lost = sum(offered[begin:end]) - sum(served[begin:end])
+        unserved = sum(offered[begin:end]) - sum(served[begin:end])
         outage_s = scenario.recovered_at_s - scenario.outage_at_s
         verdict.figures["worth_out_of_asked"] = ratio(served, offered, begin, end)
-        verdict.figures["worth_lost_a_second"] = lost / outage_s
+        verdict.figures["worth_lost_a_second"] = unserved / outage_s
         verdict.figures["worth_before_of_asked"] = ratio(served, offered, 0, begin)
     duplicates = sum(mark.verb == MarkVerb.DUPLICATE_RUNS for mark in history.logs.marks)
     if duplicates:
--- a/cottonhold/emulator/fault_injection/waiting.py
+++ b/cottonhold/emulator/fault_injection/waiting.py
@@ -12,10 +12,10 @@
 STALL_CHECK_INTERVAL_S, MIN_STALL_S = 0.02, 0.02
 
 
-async def wait_until(holds: Callable[[], bool], timeout_s: float) -> bool:
+async def wait_until(condition: Callable[[], bool], timeout_s: float) -> bool:
     """Wait until a condition holds; return whether it did within the time. The condition may block."""
     deadline = time.monotonic() + timeout_s
-    while not await asyncio.to_thread(holds):
+    while not await asyncio.to_thread(condition):
         if time.monotonic() > deadline:
             return False
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/cottonhold/emulator/fault_injection/worker_pool.py
+++ b/cottonhold/emulator/fault_injection/worker_pool.py
@@ -146,7 +146,7 @@
     """Fork a program for each request, until the harness has ended."""
     for name in PRELOADED_MODULES:
         import_module(name)
-    link, own_pid = socket.socket(fileno=os.dup(0)), os.getpid()
+    link, pool_pid = socket.socket(fileno=os.dup(0)), os.getpid()
     while True:
         request, descriptors, _, _ = socket.recv_fds(link, MAX_REQUEST_BYTES, 3)
         if not request:
@@ -155,7 +155,7 @@
             pass
         pid = os.fork()
         if not pid:
-            _run_program(json.loads(request), descriptors, own_pid)
+            _run_program(json.loads(request), descriptors, pool_pid)
             return
         for descriptor in descriptors:
             os.close(descriptor)
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -249,7 +249,7 @@
     scenario = Scenario(
         name="d", description="", instances=2, zones=("a", "b"), engines_per_zone=1, instance_zones=("a", "b")
     )
-    assert set(check_scenario(scenario).pick(target)) == expected
+    assert set(check_scenario(scenario).resolve_target(target)) == expected
 
 
 @pytest.mark.parametrize(
--- a/tests/emulator/test_checker_recovery.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -24,7 +24,7 @@
 from cottonhold.emulator.fault_injection.links import NetworkPath
 from cottonhold.emulator.fault_injection.recovery_quality import possible_utility
 from cottonhold.emulator.fault_injection.recovery_scenarios import repeated_power_losses
-from cottonhold.emulator.fault_injection.scenarios import BY_NAME, SCENARIOS, SHORT
+from cottonhold.emulator.fault_injection.scenarios import BY_NAME, SCENARIOS, SHORT_SCENARIOS
 from cottonhold.emulator.fault_injection.script import Scenario, ScriptError, check_scenario
 from cottonhold.emulator.fault_injection.zone_distances import distance_ms
 
@@ -223,7 +223,9 @@
 
 
 def test_the_short_set_stays_short() -> None:
-    assert sum(BY_NAME[name].duration_s for name in SHORT) < 40.0, "with starts and patience: two minutes"
+    assert sum(BY_NAME[name].duration_s for name in SHORT_SCENARIOS) < 40.0, (
+        "with starts and patience: two minutes"
+    )
 
 
 def test_a_summary_has_only_columns_that_some_run_has() -> None:
@@ -252,7 +254,7 @@
     )
     engine = FaultyEngine("a0", io.TextIOWrapper(io.BytesIO()), traits, 1)
     engine.started_at -= age
-    assert engine._overloads(work) is is_overloaded
+    assert engine._is_overloaded_by(work) is is_overloaded
 
 
 @pytest.mark.parametrize("is_closed", [False, True])
--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -59,8 +59,8 @@
         (Link(), "ask"),
         (Link(refuses=True), "refused"),
         (Link(resets=True), "broken"),
-        (Link(forth=NetworkPath(is_cut=True)), "silent"),
-        (Link(back=NetworkPath(is_cut=True)), "silent"),
+        (Link(forth=NetworkPath(is_blocked=True)), "silent"),
+        (Link(back=NetworkPath(is_blocked=True)), "silent"),
         (Link(forth=NetworkPath(delay_ms=5.0), back=NetworkPath(bytes_per_s=1e4)), "ask"),
     ],
     ids=["well", "refused", "reset", "cut forth", "cut back", "slow"],
@@ -80,9 +80,9 @@
         port = await tested.start()
         await tested.set(link)
         found = await exchange(tested)
-        if link.forth.is_cut:
+        if link.forth.is_blocked:
             assert not received, "one path: nothing has come"
-        if link.back.is_cut:
+        if link.back.is_blocked:
             assert received == [b"ask"], "the other path: it came, and no answer went back"
         await tested.set(Link())
         assert tested.port == port
@@ -103,7 +103,7 @@
             ("127.0.0.1", server.sockets[0].getsockname()[1]), 1, lambda *words: events.append(words)
         )
         await tested.start()
-        await tested.set(Link(forth=NetworkPath(is_cut=True)))
+        await tested.set(Link(forth=NetworkPath(is_blocked=True)))
         _, writer = await asyncio.open_connection("127.0.0.1", tested.port)
         writer.write(b"*2\r\n$3\r\nGET\r\n$2\r\nr1\r\n")
         writer.close()
@@ -124,7 +124,7 @@
     "path, min_received, max_received",
     [
         (NetworkPath(), 100, 100),
-        (NetworkPath(is_cut=True), 0, 0),
+        (NetworkPath(is_blocked=True), 0, 0),
         (NetworkPath(loss_share=0.5), 25, 75),
         (NetworkPath(duplicate_share=1.0), 200, 200),
         (NetworkPath(delay_ms=1.0, jitter_ms=5.0), 100, 100),
--- a/tests/emulator/test_power_losses.py
+++ b/tests/emulator/test_power_losses.py
@@ -124,7 +124,7 @@
     )
     wrong_folder = ""
     for power_loss in power_losses:
-        if power_loss.waits_for_rest:
+        if power_loss.waits_until_settled:
             wrong_folder = ""
         now = [name for name in (power_loss.emptied, power_loss.restored, power_loss.backup) if name]
         assert len(now) + bool(wrong_folder) <= 1
