--- a/cottonhold/emulator/fault_injection/clients.py
+++ b/cottonhold/emulator/fault_injection/clients.py
@@ -1,9 +1,10 @@
-"""Clients as a process: open-loop arrivals in the MySQL protocol, retries, and a load balancer that notices
-failures late.
+"""A process that emulates clients: open-loop arrivals in the MySQL protocol, with retries, behind a load
+balancer that detects failures with a delay.
 
     python -m cottonhold.emulator.fault_injection.clients '{"ports": [...], "rate": 270, ...}'
 
-The log has one JSON array a line: [seconds (monotonic), event, request id, more].
+Its argument is a `Load` as JSON. Each line of its log is a JSON array: [seconds of the monotonic clock,
+event, request id, details...].
 """
 
 from __future__ import annotations
@@ -33,23 +34,28 @@
 RETRY_AFTER = re.compile(r"cooldown=(\d+)")
 DATA_SETS_PER_ZONE = 7
 MAX_IDLE_CONNECTIONS = 64
-MAX_IDLE_S = 2.0  # an instance closes idle connections after 5 s: no request may cross that
-LATE_RESPONSE_S = 0.5  # a response so long after the client's timeout still counts, a later one does not
-MIN_TIMEOUT_MS = 20.0  # with less time left a client gives up
-BROKEN_INSTANCE_S = 3.0  # until the load balancer tries an instance again that broke a connection
-DRAIN_S = 2.0  # at the end, after the last request's patience
+MAX_IDLE_S = 2.0  # well below the 5 s after which an instance closes idle connections
+LATE_RESPONSE_S = 0.5  # a response up to this long after the client's timeout is still accepted
+MIN_TIMEOUT_MS = 20.0  # a client gives up when less time than this remains
+BROKEN_INSTANCE_S = 3.0  # time after a broken connection until the load balancer uses the instance again
+DRAIN_S = 2.0  # wait for open requests at the end, on top of the longest patience
 MAX_LOGGED_TEXT = 80
 
 
 class Session:
-    """One connection to an instance."""
+    """One MySQL connection to an instance."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.used_at = reader, writer, 0.0
 
     @classmethod
     async def open(cls, port: int) -> Session:
-        """Return a session that is logged in. Raises OSError and IncompleteReadError."""
+        """Return a session that is logged in.
+
+        Raises:
+            OSError: The connection could not be opened.
+            asyncio.IncompleteReadError: The instance closed the connection during the login.
+        """
         session = cls(*await asyncio.open_connection("127.0.0.1", port))
         await session._read()
         session._write(1, LOGIN)
@@ -64,7 +70,12 @@
         return await self.reader.readexactly(int.from_bytes(head[:3], "little"))
 
     async def query(self, sql: str) -> tuple[RequestEnd, str]:
-        """Return SERVED with the first cell, or REFUSED or FAILED with the error's text."""
+        """Run a statement; return SERVED with the first value, or REFUSED or FAILED with the error's text.
+
+        Raises:
+            OSError: The connection broke.
+            asyncio.IncompleteReadError: The instance closed the connection.
+        """
         self._write(0, COM_QUERY + sql.encode())
         eof_count, rows = 0, []
         while eof_count < 2:
@@ -82,7 +93,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Client:
-    """One client and the request that it repeats until it is answered. zone: empty if it belongs to none."""
+    """One client, which sends one request and retries it.
+
+    Attributes:
+        number: Number of the client, which is also the number of its load.
+        request_class: Class of its request.
+        zone: Zone of the client; empty if the scenario's instances belong to no zone.
+    """
 
     number: int
     request_class: RequestClass
@@ -95,7 +112,7 @@
     def __init__(self, load: Load, log: TextIOWrapper) -> None:
         self.load, self.log, self.random = load, log, random.Random(load.seed)
         self.idle_sessions: dict[int, list[Session]] = {i: [] for i in range(len(load.instance_ports))}
-        self.failed_at: dict[int, float] = {}  # by instance, as the load balancer knows it
+        self.failed_at: dict[int, float] = {}  # by instance, as the load balancer observed it
         self.request_numbers, self.client_numbers = itertools.count(1), itertools.count(1)
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -104,7 +121,7 @@
         self.log.write(json.dumps([round(time.monotonic(), 6), event, request_id, *details]) + "\n")
 
     async def run(self) -> None:
-        """Start requests at their times, whatever became of earlier ones, and wait for the last."""
+        """Start requests at random times, independently of earlier ones, and wait until all have ended."""
         started_at, arrival_s = time.monotonic(), 0.0
         while arrival_s < self.load.duration_s:
             factors = [factor for since_s, factor in self.load.rate_steps if arrival_s >= since_s]
@@ -122,7 +139,7 @@
         behaviour = self.load.behaviour
         takes_advice = self.random.random() < behaviour.retry_after_share
         deadline = time.monotonic() + client.request_class.patience_ms / 1000
-        unreached: set[int] = set()  # instances; a client that has a zone goes elsewhere then
+        unreached: set[int] = set()  # instances that a client with a zone does not try again
         for attempts in itertools.count(1):
             timeout_ms = (deadline - time.monotonic()) * 1000
             if timeout_ms < MIN_TIMEOUT_MS:
@@ -151,8 +168,15 @@
         return Client(next(self.client_numbers), request_class, zone)
 
     def _instance(self, zone: str, unreached: Set[int] = frozenset()) -> int:
-        """Return an instance by weight, among those that the load balancer takes to be up and the client has
-        not failed to reach; in the client's zone if one is there."""
+        """Return the number of a random instance, by weight.
+
+        Instances that the load balancer has detected as failed or that the client failed to reach are left
+        out; if any of the others are in the client's zone, only these are considered.
+
+        Args:
+            zone: Zone of the client; empty for none.
+            unreached: Instances that the client failed to reach.
+        """
         now, detection_s = time.monotonic(), self.load.behaviour.failure_detection_ms / 1000
         weights = [
             0.0 if i in unreached or now - self.failed_at.get(i, now) > detection_s else weight
@@ -168,14 +192,17 @@
         )[0]
 
     def _data_set(self, client_number: int, zone: str) -> int:
-        """Return the number of the data set that a client reads: each zone has some of its own."""
+        """Return the number of the data set that a client reads; each zone's clients have their own."""
         zones = sorted(set(self.load.instance_zones))
         first = zones.index(zone) * DATA_SETS_PER_ZONE if zone else 0
         return first + client_number % DATA_SETS_PER_ZONE
 
     def _idle_session(self, instance: int) -> Session | None:
-        """Return a session to be used again. One that the instance has closed is skipped, as a client's pool
-        does: a request written to it would never be answered."""
+        """Return an idle session for reuse, or None.
+
+        Sessions that the instance has closed are discarded, as a client's connection pool does, since a
+        request on one would never be answered.
+        """
         while self.idle_sessions[instance]:
             session = self.idle_sessions[instance].pop()
             if time.monotonic() - session.used_at < MAX_IDLE_S and not session.reader.at_eof():
@@ -197,7 +224,14 @@
     async def _attempt(
         self, client: Client, attempts: int, timeout_ms: float, instance: int
     ) -> tuple[RequestEnd, str]:
-        """Send a client's request to an instance, by number, and log how it ended."""
+        """Send a client's request to an instance, log how the attempt ended, and return its end and text.
+
+        Args:
+            client: The client.
+            attempts: Number of this attempt, from 1.
+            timeout_ms: How long the client waits for a response, in ms.
+            instance: Number of the instance.
+        """
         request_id = f"{self.load.seed & 0xFFFF:04x}{next(self.request_numbers):012x}"
         statement = self._statement(client, request_id, attempts, timeout_ms)
         details: Sequence[object] = (
@@ -232,7 +266,7 @@
     async def _query(
         self, session: Session, client: Client, request_id: str, statement: str, instance: int
     ) -> tuple[RequestEnd, str]:
-        """Send a statement on a session, as far away as the client is, and keep the session for the next."""
+        """Run a statement with the delay between the client's zone and the instance's; pool the session."""
         distance_s = 0.0
         if client.zone:
             instance_zone = self.load.instance_zones[instance]
@@ -254,7 +288,7 @@
 
 
 async def main(settings: str) -> None:
-    """Run a load, given as JSON, to its end."""
+    """Run a load, given as the JSON of a `Load`, to its end."""
     load: Load = msgspec.json.decode(settings, type=Load)
     with open(load.log_path, "a", buffering=1) as log:
         print("ready", flush=True)
--- a/cottonhold/emulator/fault_injection/engine.py
+++ b/cottonhold/emulator/fault_injection/engine.py
@@ -1,10 +1,10 @@
-"""An engine as a process: servers and a queue, a slow start, faults by lines on standard input, a log.
+"""An emulated engine as a process: servers, a queue, a cold start, and faults.
 
     python -m cottonhold.emulator.fault_injection.engine '{"id": "a0", "port": 0, "ledger": "a0.jsonl", ...}'
 
-With `--waits` in place of the settings they are the first line of standard input. Standard output says where
-it listens. A line on standard input is a JSON object of traits to change. The log has one JSON array a line:
-[seconds (monotonic), event, request id, more].
+With `--waits` in place of the settings, it reads them from the first line of standard input. It prints the
+port on which it listens. Each further line of standard input is a JSON object with traits to change. Each
+line of its log is a JSON array: [seconds of the monotonic clock, event, request id, details...].
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 
 
 class DataSetCache:
-    """The data sets that an engine has in memory, by when they were read last, in ms."""
+    """The data sets that an engine has in memory, with the time of their last read, in ms."""
 
     def __init__(self) -> None:
         self.read_at: dict[bytes, float] = {}
 
     def read(self, name: bytes, traits: EngineTraits, now: float) -> bool:
-        """Return whether a data set was warm. It is from now on, until others displace it."""
+        """Return whether a data set was warm, and make it warm until it expires or others displace it."""
         is_warm = now - self.read_at.pop(name, -math.inf) <= traits.data_set_expiry_ms
         self.read_at[name] = now
         while len(self.read_at) > traits.warm_data_sets:
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request that runs or waits."""
+    """A request that runs or waits at an engine."""
 
     request_id: bytes
     writer: asyncio.StreamWriter
@@ -59,15 +59,15 @@
 
 
 class FaultyEngine:
-    """One engine."""
+    """One engine, whose traits can change while it runs."""
 
     def __init__(self, engine_id: str, log: TextIOWrapper, traits: EngineTraits, seed: int) -> None:
         self.id, self.log, self.traits = engine_id, log, traits
         self.random, self.started_at = random.Random(seed), time.monotonic()
         self.running: dict[tuple[int, bytes], Job] = {}
         self.waiting: deque[Job] = deque()
-        self.recent_work: deque[tuple[float, float]] = deque()  # when it arrived, and how much, in ms
-        self.is_overloaded = False  # for good
+        self.recent_work: deque[tuple[float, float]] = deque()  # time of arrival, and work in ms
+        self.is_overloaded = False  # never reset
         self.data_sets = DataSetCache()
 
     def write_log(self, event: str, request_id: bytes = b"", *details: object) -> None:
@@ -139,9 +139,12 @@
         return (time.monotonic() - self.started_at) * 1000
 
     def _is_overloaded_by(self, work_ms: float) -> bool:
-        """Count work that arrives; return whether the engine has been sent too much while it was cold, and
-        responds no more. What it bears grows with its speed: by the limit of the coldest, one at its usual
-        load would be overloaded by chance just before it is warm."""
+        """Record arriving work; return whether the engine is overloaded and does not respond any more.
+
+        An engine is overloaded for good if too much work arrives within a window while it is cold. The limit
+        grows with its speed: with the limit of the coldest engine, one at its usual load could be overloaded
+        by chance just before it is warm.
+        """
         now, age_ms = time.monotonic(), self._age_ms()
         self.recent_work.append((now, work_ms))
         while self.recent_work[0][0] < now - self.traits.overload_window_ms / 1000:
@@ -195,7 +198,7 @@
 
 
 async def change_traits(engine: FaultyEngine) -> None:
-    """Apply changes from standard input until it ends, which is when the harness has ended."""
+    """Apply changes of traits from standard input until it ends, which happens when the harness ends."""
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
@@ -207,7 +210,11 @@
 
 
 async def main(settings: dict[str, Any]) -> None:
-    """Serve until standard input ends."""
+    """Serve until standard input ends.
+
+    Args:
+        settings: `id`, `port`, `ledger` (path of the log) and, optionally, `traits` and `seed`.
+    """
     with open(settings["ledger"], "a", buffering=1) as log:
         traits = decode_traits(settings.get("traits", {}))
         engine = FaultyEngine(settings["id"], log, traits, settings.get("seed", 0))
--- a/cottonhold/emulator/fault_injection/event_log.py
+++ b/cottonhold/emulator/fault_injection/event_log.py
@@ -1,5 +1,6 @@
-"""What was seen in a run: the logs of engines, clients and links, read into attempts, executions and sends.
-Pure. Times are seconds of one monotonic clock that all processes share.
+"""Reads the logs of engines, clients and links of a run into attempts, executions and sends. Pure.
+
+Times are in seconds of the monotonic clock, which all processes share.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from cottonhold.emulator.fault_injection.client_model import RequestEnd
 from cottonhold.emulator.fault_injection.script import Scenario
 
-LogLine = list[Any]  # [seconds, event, request id, more]
-BIN_S = 0.5  # the step of series over time
+LogLine = list[Any]  # [seconds, event, request id, details...]
+BIN_S = 0.5  # step of the time series
 REQUEST_ENDS = frozenset(RequestEnd)
 
 
 class MarkVerb(StrEnum):
-    """What the harness did or noted, by the word that stands for it in a run's result."""
+    """What the harness did or observed; the values are the words in a run's result."""
 
     KILL = "kill"
     START = "start"
@@ -37,22 +38,35 @@
 
 
 class Mark(NamedTuple):
-    """What the harness did to a process, or noted of it. A run's result has marks as arrays."""
+    """What the harness did to a process or observed about it; a run's result contains marks as arrays.
+
+    Attributes:
+        at: Time of the monotonic clock, in s.
+        verb: A MarkVerb, or its value.
+        name: Name of the process; for a requested replacement, the answer.
+    """
 
     at: float
-    verb: str  # a MarkVerb, or the word for one
+    verb: str
     name: str
 
 
 @dataclass(slots=True)
 class RunLogs:
-    """All that was seen.
-
-    marks: what the harness did to processes. links: lines of [seconds, event, request
-    id, instance, engine], where the event is get, drop, closed or the engine's status. stalls: from when to
-    when the harness itself was not scheduled: what it saw then may have happened long before.
-    projected_costs: by zone, what an instance projected a second before the zone's outage. ownerless_counts:
-    how many keys that migrated had no owner for up to so many ms, as the instances counted.
+    """All logs of a run.
+
+    Attributes:
+        engines: Log of each engine, by its name.
+        clients: Log of the clients.
+        load_started_at: When the load began, in seconds of the monotonic clock.
+        marks: What the harness did to processes.
+        links: Lines of [seconds, event, request id, instance, engine], where the event is get, drop, closed
+            or the engine's status.
+        stalls: Begin and end of each time in which the harness was not scheduled. What it recorded then may
+            have happened earlier.
+        projected_costs: Failover cost of each zone that an instance projected a second before the outage.
+        ownerless_counts: Histogram of the time for which migrated keys had no owner: the number of keys by
+            the upper limit of the bucket, in ms, as counted by the instances.
     """
 
     engines: Mapping[str, list[LogLine]]
@@ -65,13 +79,19 @@
     ownerless_counts: Mapping[float, int] = field(default_factory=dict)
 
     def stalled_s(self, begin: float, end: float) -> float:
-        """Return the seconds within a time in which the harness was not scheduled."""
+        """Return for how many seconds between two times the harness was not scheduled."""
         return sum(max(min(end, b) - max(begin, a), 0.0) for a, b in self.stalls)
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What a run was: broken rules with their evidence, figures, and series over time in steps of BIN_S."""
+    """The assessment of a run.
+
+    Attributes:
+        findings: Broken rules with their evidence.
+        figures: Measured figures, by name.
+        series: Time series in steps of BIN_S, by name.
+    """
 
     findings: list[str] = field(default_factory=list)
     figures: dict[str, float] = field(default_factory=dict)
@@ -80,8 +100,22 @@
 
 @dataclass(slots=True)
 class RequestLog:
-    """One attempt of a client. attempt: counted from 0. sent_at: when its connection was open, which is after
-    started_at. end: None while it is open; end_count: how often an end was logged."""
+    """One attempt of a client.
+
+    Attributes:
+        started_at: When the attempt began.
+        class_name: Class of the request.
+        instance: Number of the instance that it was sent to.
+        attempt: Number of the attempt, from 0.
+        client: Number of the client.
+        timeout_ms: How long the client waited for a response, in ms.
+        ended_at: When the attempt ended; infinite while it is open.
+        end: How the attempt ended; None while it is open.
+        text: The engine that served it, or the text of the error.
+        end_count: Number of ends in the log.
+        client_zone: Zone of the client; empty if it belongs to none.
+        sent_at: When the request was written, after the connection was open; infinite before.
+    """
 
     started_at: float
     class_name: str
@@ -98,7 +132,7 @@
 
 
 class ExecutionEnd(StrEnum):
-    """How an execution ended, by the word that stands for it in the engine's log."""
+    """How an execution ended; the values are the events of the engine's log, except KILLED."""
 
     DONE = "done"
     CANCELLED = "drop"
@@ -113,8 +147,20 @@
 
 @dataclass(slots=True)
 class Execution:
-    """One attempt as its engine saw it. key, load_number: of a load; empty for other requests. began_at:
-    infinite while it waits. ended_at: when the engine no longer had it."""
+    """One attempt at an engine.
+
+    Attributes:
+        engine: Name of the engine.
+        arrived_at: When the engine received it.
+        class_name: Class of the request.
+        key: Ordering key of a load; empty for other requests.
+        load_number: Number of a load; 0 for other requests.
+        work_ms: Work of the request, in ms on a warm engine.
+        began_at: When it began to run; infinite while it waits.
+        ended_at: When it ended, was cancelled or the engine was killed; infinite until then.
+        end: How it ended; None while it runs or waits.
+        read_cold_data: Whether it read a data set that was not in memory.
+    """
 
     engine: str
     arrived_at: float
@@ -130,7 +176,16 @@
 
 @dataclass(slots=True)
 class Send:
-    """One attempt as its link saw it. end: drop, closed, or the engine's status; empty while it is open."""
+    """One attempt on the link from an instance to an engine.
+
+    Attributes:
+        instance: Name of the instance.
+        engine: Name of the engine.
+        sent_at: When the instance sent it.
+        ended_at: When it ended; infinite while it is open.
+        end: `drop` if cancelled, `closed` if the connection closed, or the engine's status; empty while it is
+            open.
+    """
 
     instance: str
     engine: str
@@ -141,7 +196,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RunHistory:
-    """A run's logs, and what they tell of each request by its id."""
+    """A run's logs, and the attempts, executions and sends in them by request id."""
 
     scenario: Scenario
     logs: RunLogs
@@ -151,12 +206,12 @@
 
 
 def read_history(scenario: Scenario, logs: RunLogs) -> RunHistory:
-    """Return the history of a run."""
+    """Return the history of a run, read from its logs."""
     return RunHistory(scenario, logs, requests_of(logs), executions_of(logs), sends_of(logs))
 
 
 def bin_count(scenario: Scenario) -> int:
-    """Return how many steps a series of a scenario has."""
+    """Return the number of steps in a time series of a scenario."""
     return math.ceil(scenario.duration_s / BIN_S)
 
 
@@ -180,7 +235,7 @@
 
 
 def executions_of(logs: RunLogs) -> dict[str, list[Execution]]:
-    """Return the executions by request id, each in the order of arrival. A killed engine ends all it had."""
+    """Return the executions by request id, in the order of arrival; a kill ends all those of its engine."""
     executions: dict[str, list[Execution]] = defaultdict(list)
     for engine, lines in logs.engines.items():
         kills = sorted(mark.at for mark in logs.marks if mark.verb == MarkVerb.KILL and mark.name == engine)
@@ -217,7 +272,7 @@
 
 
 def sends_of(logs: RunLogs) -> dict[str, list[Send]]:
-    """Return the sends by request id, each in the order in which they were sent."""
+    """Return the sends by request id, in the order in which they were sent."""
     sends: dict[str, list[Send]] = defaultdict(list)
     for at, event, request_id, instance, engine in logs.links:
         if event == "get":
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario: on processes, links, datagrams, the engine list's source, machines."""
+"""Injects the faults of a scenario into processes, links, datagrams, machines and engine list sources."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
     from cottonhold.emulator.fault_injection.harness import ScenarioRun
 
 ORDER_DURATION_MS = 60_000
-SHUTDOWN_TIMEOUT_S = 10.0  # after SIGTERM, until a process is killed
+SHUTDOWN_TIMEOUT_S = 10.0  # time after SIGTERM until a process is killed
 FORGERY_INTERVAL_S = 0.1
-# Versions of forged reports: above those that an instance gives its own within a run.
+# Versions of forged reports; they are higher than any that an instance reaches within a run.
 FORGED_VERSIONS = range(1_000_000, 2_000_000)
 FORGED_FAILED_ATTEMPTS = 200
 FORGED_CENTICORES = 100
@@ -45,7 +45,7 @@
 
 
 class FaultInjector:
-    """Injects the faults of one run. Some go on in the background until `stop`."""
+    """Injects the faults of one run. Some of them run in the background until `stop`."""
 
     def __init__(self, run: ScenarioRun) -> None:
         self.run = run
@@ -71,13 +71,13 @@
         self.handlers |= dict.fromkeys(("keep", "empty", "old", "disk", "clock"), self._on_machine)
 
     async def apply(self, fault: Fault) -> None:
-        """Inject one fault, and wait until it is in effect."""
+        """Inject one fault, and return once it is in effect."""
         pending = self.handlers[fault.verb](fault)
         if pending is not None:
             await pending
 
     def stop(self) -> None:
-        """End the faults that go on in the background."""
+        """End the faults that run in the background."""
         for task in self.background_tasks:
             task.cancel()
 
@@ -101,11 +101,13 @@
                 await self.run.network.client_links[name].set(link_state(fault.options))
 
     async def _on_source_link(self, fault: Fault) -> None:
-        is_cut = any(fault.options.get(option) for option in CUTTING_OPTIONS)
+        is_blocked = any(fault.options.get(option) for option in CUTTING_OPTIONS)
         for name in self._targets(fault):
             if name in self.run.network.source_links:
                 await self.run.network.source_links[name].set(link_state(fault.options))
-                self.run.mark(MarkVerb.SOURCE_DISCONNECTED if is_cut else MarkVerb.SOURCE_RECONNECTED, name)
+                self.run.mark(
+                    MarkVerb.SOURCE_DISCONNECTED if is_blocked else MarkVerb.SOURCE_RECONNECTED, name
+                )
 
     def _on_peers(self, fault: Fault) -> None:
         options = {name: value for name, value in fault.options.items() if name not in ("forth", "heal")}
@@ -125,7 +127,7 @@
         self._run_in_background(self._forge_reports(fault.target, fault.options["zone"]))
 
     async def _forge_reports(self, name: str, zone: str) -> None:
-        """Send reports in an instance's name that it never sent: it is certain that a zone has failed."""
+        """Send forged reports in an instance's name, which assert with certainty that a zone has failed."""
         number, sender_id = int(name[1:]), member_id(name)
         incarnation = random.Random(self.run.scenario.seed).getrandbits(32)
         codec = Codec(sender_id, incarnation, KeyRing({1: MEMBERSHIP_KEY}, 1))
@@ -201,12 +203,12 @@
             self.run.mark(fault.verb, name)
 
     def simulate_power_loss(self, target: str) -> None:
-        """Kill all processes of a target in the same instant."""
+        """Kill all processes of a target simultaneously."""
         names = [
             name for name in self.run.scenario.resolve_target(target) if self.run.processes.is_running(name)
         ]
         killed_at = time.monotonic()
-        # All signals first: to wait for one process would give the others time to notice its end.
+        # All signals are sent first: waiting for one process would give the others time to detect its end.
         for name in names:
             self.run.processes[name].send_signal(signal.SIGKILL)
         for name in names:
@@ -216,7 +218,7 @@
             self.run.processes.prepare(name)
 
     async def _on_end(self, fault: Fault) -> None:
-        """Send SIGTERM to each, one after another, and wait until it has ended."""
+        """End the targets one after another: send SIGTERM, then SIGKILL after a timeout."""
         timeout_s = float(fault.options.get("within", SHUTDOWN_TIMEOUT_S))
         for name in self._targets(fault):
             process = self.run.processes[name]
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -1,6 +1,6 @@
-"""Plays a scenario on processes: starts them, injects the faults in time, and keeps what was seen.
+"""Plays a scenario: starts the processes, injects the faults at their times, and collects the logs.
 
-Ends only the processes that it started.
+It ends only the processes that it started.
 """
 
 from __future__ import annotations
@@ -41,21 +41,29 @@
 from cottonhold.emulator.fault_injection.waiting import StallMonitor, wait_until
 
 START_TIMEOUT_S = 30.0
-CLIENT_START_S = 0.5  # until the clients' process is loaded
-# Clients that ask last wait for their patience, and end within this time after it.
+CLIENT_START_S = 0.5  # estimated time until the clients' process has started
+# Time after the last request's patience within which the clients' process ends.
 CLIENT_END_S = 5.0
-PROJECTION_LEAD_S = 1.0  # so long before a zone's outage the projected costs are read
-POLL_INTERVAL_S = 0.1  # between two looks at what is due
+PROJECTION_LEAD_S = 1.0  # time before a zone's outage at which the projected costs are read
+POLL_INTERVAL_S = 0.1  # between checks for faults that are due
 Progress = Callable[[float, str], None]
 
 
 class ScenarioRunError(Exception):
-    """A scenario that could not be played."""
+    """Raised when a scenario could not be played."""
 
 
 @dataclass(slots=True)
 class RunResult:
-    """A scenario that was played: where its logs are, and what the checker found."""
+    """The result of a scenario that was played.
+
+    Attributes:
+        scenario: The scenario.
+        folder: Folder of the logs.
+        verdict: Findings and figures of the checker.
+        timeline: Injected faults and what else the harness did, as lines of text.
+        views: What each running instance reported at the end, by its name.
+    """
 
     scenario: Scenario
     folder: Path
@@ -67,9 +75,16 @@
 class ScenarioRun:
     """One run of a scenario in a folder.
 
-    on_progress: is called with the part of the time that has passed, and with each fault. forks: engines and
-    instances are forked from a process that has them loaded. defect: one that all instances are started with
-    (see defects.py). Raises ScriptError.
+    Args:
+        scenario: The scenario to play.
+        folder: Folder for logs, configurations and results; created if it does not exist.
+        on_progress: Called at each step with the share of the duration that has passed, and with the text of
+            a fault that is injected, or an empty text.
+        forks: Whether engines and instances are forked from a process that has loaded their programs.
+        defect: Defect to start all instances with; see defects.py.
+
+    Raises:
+        ScriptError: The scenario is invalid.
     """
 
     def __init__(
@@ -95,7 +110,11 @@
         self.started_at = 0.0  # when the load began
 
     async def play(self) -> RunResult:
-        """Play the whole scenario. Raises ScenarioRunError."""
+        """Play the whole scenario, check it, and write its result.
+
+        Raises:
+            ScenarioRunError: A process did not start, or the instances did not find one another.
+        """
         try:
             await self.start()
             await self._inject_faults()
@@ -132,7 +151,11 @@
         }
 
     async def start(self) -> None:
-        """Start all processes, and the load once all instances know one another. Raises ScenarioRunError."""
+        """Start engines and instances, and the load once all instances see one another alive.
+
+        Raises:
+            ScenarioRunError: An engine did not start, or the instances did not find one another in time.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         (self.folder / SCENARIO_FILE).write_bytes(encode_scenario(self.scenario))
         self.stall_monitor.start()
@@ -164,7 +187,7 @@
         self.started_at = time.monotonic()
 
     def client_settings(self) -> dict[str, Any]:
-        """Return the settings of the clients' process, as `clients.main` reads them."""
+        """Return the settings of the clients' process; see client_model.Load."""
         scenario = self.scenario
         return {
             "ports": [link.port for link in self.network.client_links.values()],
@@ -219,20 +242,29 @@
         await self.fault_injector.apply(fault)
 
     def mark(self, verb: str, name: str, at: float | None = None) -> None:
-        """Note what was done to a process, now or at a time of the monotonic clock."""
+        """Record what was done to a process, at a time of the monotonic clock or, without `at`, now."""
         self.marks.append(Mark(time.monotonic() if at is None else at, verb, name))
 
     async def until(self, condition: Callable[[], bool], what: str, seconds: float = START_TIMEOUT_S) -> None:
-        """Wait for a state. Raises ScenarioRunError if it does not come in time."""
+        """Wait until a condition holds.
+
+        Args:
+            condition: Function that returns whether the condition holds; it may block.
+            what: Description of the condition, for the error.
+            seconds: Timeout, in s.
+
+        Raises:
+            ScenarioRunError: The condition did not hold within the time.
+        """
         if not await wait_until(condition, seconds):
             raise ScenarioRunError(f"{what}: not within {seconds:g} s (logs in {self.folder})")
 
     def view(self, name: str) -> dict[str, Any]:
-        """Return what an instance reports at its local socket; empty if it does not answer."""
+        """Return an instance's view of the fleet from its local socket; empty if it does not respond."""
         return read_view(self.folder, name)
 
     def running_instances(self) -> list[str]:
-        """Return the instances that have neither ended nor been stopped."""
+        """Return the names of the instances that have neither ended nor been stopped."""
         stopped = {mark.name for mark in self.marks if mark.verb == MarkVerb.STOP}
         stopped -= {mark.name for mark in self.marks if mark.verb == MarkVerb.CONTINUE}
         return [
@@ -242,12 +274,12 @@
         ]
 
     def all_members_alive(self) -> bool:
-        """Return whether all instances see all of them alive."""
+        """Return whether each instance sees all others alive."""
         names = self.scenario.instance_names()
         return all(sees_all_alive(self.view(name), name, names) for name in names)
 
     def logs(self) -> RunLogs:
-        """Return what engines, clients and links have seen so far."""
+        """Return the logs of engines, clients and links so far."""
         return RunLogs(
             read_engine_logs(self.folder, self.scenario),
             read_log(self.folder / CLIENT_LOG),
@@ -262,11 +294,11 @@
         self.link_lines.append([time.monotonic(), event, request_id, instance, engine])
 
     def kill_all(self) -> None:
-        """Kill every process that was started. May be called again."""
+        """Kill every process that was started; repeated calls have no effect."""
         self.processes.kill_all()
 
     async def close(self) -> None:
-        """End all that was started, and the links between."""
+        """End all processes, background faults and links."""
         self.fault_injector.stop()
         self.stall_monitor.stop()
         self.kill_all()
@@ -274,7 +306,17 @@
 
 
 def play(scenario: Scenario, folder: Path, on_progress: Progress = lambda share, text: None) -> RunResult:
-    """Play a scenario. Raises ScenarioRunError and ScriptError."""
+    """Play a scenario in a folder, in an event loop of its own.
+
+    Args:
+        scenario: The scenario to play.
+        folder: Folder for logs and results.
+        on_progress: Called with the share of the duration that has passed, and the text of an injected fault.
+
+    Raises:
+        ScenarioRunError: The scenario could not be played.
+        ScriptError: The scenario is invalid.
+    """
     run = ScenarioRun(scenario, folder, on_progress, forks=scenario.has_state_folders)
     try:
         return uvloop.run(run.play())
--- a/cottonhold/emulator/fault_injection/power_loss_tally.py
+++ b/cottonhold/emulator/fault_injection/power_loss_tally.py
@@ -1,7 +1,7 @@
-"""What became of each load over many power losses, as clients and engines saw it. Pure.
+"""Tracks each load over many power losses, from the logs of clients and engines. Pure.
 
-A load is identified by the number in its statement, which is its client's. Times are seconds of the logs'
-clock.
+A load is identified by the number in its statement, which is its client's number. Times are in seconds of the
+logs' clock.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from cottonhold.emulator.fault_injection.client_model import RequestEnd
 from cottonhold.emulator.fault_injection.event_log import REQUEST_ENDS, LogLine
 
-SENT_BEFORE = "was sent before"  # in an instance's answer to a retry that it did not send
-POWER_LOSS_MARGIN_S = 1.0  # an attempt that was open so close to a power loss may stay unanswered
+SENT_BEFORE = "was sent before"  # text of an instance's answer to a retry that it did not send
+POWER_LOSS_MARGIN_S = 1.0  # attempts that were open within this time of a power loss may stay unanswered
 
 
 @dataclass(slots=True)
 class LoadExecution:
-    """One time that a load began at an engine."""
+    """One execution of a load at an engine."""
 
     engine: str
     request_id: str
@@ -30,8 +30,12 @@
 
 
 class RetryAnswer(StrEnum):
-    """What a client was answered: SERVED_BEFORE, MAY_HAVE_RUN and LATER without a send, SENT if its request
-    was sent to an engine."""
+    """Kind of answer that a client received.
+
+    SERVED_BEFORE, MAY_HAVE_RUN and LATER are answers that the instance gave without sending the load to an
+    engine. SENT: the load was sent to an engine. NONE: the attempt ended without an answer. OPEN: the attempt
+    has not ended.
+    """
 
     SERVED_BEFORE = "well"
     MAY_HAVE_RUN = "may"
@@ -43,8 +47,19 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a client. number: counted from 0. sent_at: when its connection was open. end: None while
-    it is open."""
+    """One attempt of a client to run a load.
+
+    Attributes:
+        request_id: Id of the request.
+        started_at: When the attempt began.
+        number: Number of the attempt, from 0.
+        instance: Number of the instance.
+        timeout_ms: How long the client waited for a response, in ms.
+        sent_at: When the request was written, after the connection was open; infinite before.
+        ended_at: When the attempt ended; infinite while it is open.
+        end: How the attempt ended; None while it is open.
+        text: The engine that served the load, or the text of the error.
+    """
 
     request_id: str
     started_at: float
@@ -58,7 +73,7 @@
 
     @property
     def answer(self) -> RetryAnswer:
-        """What its client was answered."""
+        """The kind of answer that the client received."""
         if self.end is None:
             return RetryAnswer.OPEN
         if self.end is RequestEnd.SERVED:
@@ -70,7 +85,14 @@
 
 @dataclass(slots=True)
 class ObservedLoad:
-    """All that was seen of one load. arrivals: (time, request id) of what arrived at engines."""
+    """One load in the logs.
+
+    Attributes:
+        number: Number of the load.
+        attempts: Attempts of its client.
+        executions: Executions at engines, in the order in which they began.
+        arrivals: Time and request id of each arrival at an engine.
+    """
 
     number: int
     attempts: list[Attempt] = field(default_factory=list)
@@ -79,26 +101,26 @@
 
     @property
     def served_at(self) -> float:
-        """When its client first received that it was served."""
+        """When the client first received that the load was served; infinite if it did not."""
         return min((a.ended_at for a in self.attempts if a.end is RequestEnd.SERVED), default=math.inf)
 
 
 class Tally:
-    """Loads as clients and engines saw them, line by line."""
+    """Collects the loads from the lines of the clients' and engines' logs as they are written."""
 
     def __init__(self) -> None:
         self.loads: dict[int, ObservedLoad] = {}
         self.attempts: dict[str, Attempt] = {}
-        self.present: dict[tuple[str, str], ObservedLoad] = {}  # by engine and request id: what came last
+        self.present: dict[tuple[str, str], ObservedLoad] = {}  # at engines, by engine and request id
         self.running: dict[tuple[str, str], LoadExecution] = {}
-        self.duplicates: list[int] = []  # loads that began twice, in the order in which that was seen
+        self.duplicates: list[int] = []  # loads that began twice, in the order of detection
 
     def load(self, number: int) -> ObservedLoad:
-        """Return what is known of a load."""
+        """Return the record of a load; create it if there is none."""
         return self.loads.setdefault(number, ObservedLoad(number))
 
     def on_client_lines(self, lines: Iterable[LogLine]) -> None:
-        """Read new lines of the clients' log."""
+        """Process new lines of the clients' log."""
         for at, event, request_id, *details in lines:
             if event == "ask" and details[0] == "load":
                 _, instance, number, client, timeout_ms, *_ = details
@@ -113,7 +135,7 @@
                 attempt.text = details[0] if details else ""
 
     def on_engine_lines(self, engine: str, lines: Iterable[LogLine]) -> None:
-        """Read new lines of an engine's log."""
+        """Process new lines of an engine's log."""
         for at, event, request_id, *details in lines:
             place = engine, request_id
             if event == "get" and details[1]:
@@ -135,7 +157,7 @@
             self.duplicates.append(load.number)
 
     def on_power_loss(self, at: float) -> None:
-        """End all engines; call it with all lines up to then read."""
+        """End all executions; call this once all log lines up to the power loss are processed."""
         for execution in self.running.values():
             execution.ended_at = min(execution.ended_at, at)
         self.running.clear()
@@ -144,9 +166,14 @@
 
 @dataclass(slots=True)
 class ObservedPowerLoss:
-    """What one power loss met: loads whose clients waited, those that ran at an engine, those that had begun
-    (and maybe ended) while their client had received nothing; and what retries were answered until the next
-    one."""
+    """Counts of loads by their state at a power loss, and of the answers to retries until the next one.
+
+    Attributes:
+        in_flight: Loads whose clients were waiting for an answer.
+        at_engines: Loads that were running at an engine.
+        unreported: Loads that had begun, and maybe ended, although their clients had received no result.
+        answers: Answers to retries, by RetryAnswer.
+    """
 
     in_flight: int = 0
     at_engines: int = 0
@@ -155,7 +182,7 @@
 
 
 def observe_power_loss(tally: Tally, at: float, next_at: float = math.inf) -> ObservedPowerLoss:
-    """Return what the power loss at a time met. next_at: the next one's time."""
+    """Return the counts for a power loss at a time; `next_at` is the time of the next power loss."""
     observed = ObservedPowerLoss()
     for load in tally.loads.values():
         is_open = any(attempt.started_at <= at < attempt.ended_at for attempt in load.attempts)
@@ -175,8 +202,15 @@
     until: float,
     stalls: Sequence[tuple[float, float]] = (),
 ) -> list[Attempt]:
-    """Return the attempts made by then that had no answer although no power loss was near. stalls: times in
-    which the harness was not scheduled, so that late and missing answers cannot be told apart."""
+    """Return the attempts that received no answer although no power loss explains it.
+
+    Args:
+        tally: The loads.
+        power_losses: Times of the power losses.
+        until: Only attempts that began before this time are considered.
+        stalls: Begin and end of each time in which the harness was not scheduled. Late and missing answers
+            cannot be distinguished then, so attempts that were open in one are left out.
+    """
     return [
         attempt
         for load in tally.loads.values()
@@ -194,7 +228,13 @@
 
 
 def timeline(load: ObservedLoad, started_at: float, marks: Iterable[tuple[float, str, str]]) -> list[str]:
-    """Return what happened to a load, a line for each event, with what was killed and started meanwhile."""
+    """Return the events of a load as lines of text, including processes killed and started meanwhile.
+
+    Args:
+        load: The load.
+        started_at: Time from which the printed times count.
+        marks: What the harness did to processes.
+    """
     rows = [
         (a.started_at, f"asked at n{a.instance}, ref {a.request_id}, try {a.number}") for a in load.attempts
     ]
