--- a/cottonhold/emulator/fault_injection/__init__.py
+++ b/cottonhold/emulator/fault_injection/__init__.py
@@ -1,2 +1,1 @@
-"""Scenarios of faults, played on processes of the program with engines and clients, and checked from
-outside."""
+"""Fault injection: plays scenarios with real instances, emulated engines and clients, and checks the logs."""
--- a/cottonhold/emulator/fault_injection/checker.py
+++ b/cottonhold/emulator/fault_injection/checker.py
@@ -1,6 +1,6 @@
-"""Checks a run from the logs of engines, clients and links alone, and measures it. Pure.
+"""Checks and measures a run from nothing but the logs of engines, clients and links. Pure.
 
-A finding is a rule that was broken, with its evidence.
+A finding is a broken rule with its evidence.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 
 def check_run(scenario: Scenario, logs: RunLogs) -> Verdict:
-    """Return all findings about a run, and its figures."""
+    """Return the findings and figures of a run."""
     history, verdict = read_history(scenario, logs), Verdict()
     check_requests(history, verdict)
     check_sends(history, verdict)
@@ -78,12 +78,12 @@
 
 
 def relative_utility(verdict: Verdict, other: Verdict) -> float:
-    """Return the utility that was served in one run, as a part of that in another of the same load."""
+    """Return the utility served in one run as a share of that in another run with the same load."""
     return sum(verdict.series["worth served"]) / max(sum(other.series["worth served"]), 1e-9)
 
 
 def summary(rows: Iterable[tuple[str, Verdict]]) -> list[str]:
-    """Return a table of runs by name, as lines of Markdown."""
+    """Return a table with the findings and figures of named runs, as lines of Markdown."""
     rows = list(rows)
     columns = [*COLUMNS]
     columns += [c for c in OPTIONAL_COLUMNS if any(c in verdict.figures for _, verdict in rows)]
--- a/cottonhold/emulator/fault_injection/client_model.py
+++ b/cottonhold/emulator/fault_injection/client_model.py
@@ -1,6 +1,6 @@
-"""The clients of a scenario as values: classes of requests, how clients behave, and the load of a run. Pure.
+"""The clients of a scenario as values: request classes, client behaviour, and the load of a run. Pure.
 
-The scenario's JSON and the settings of the clients' process hold them under the names given to `field`.
+The scenario's JSON and the settings of the clients' process use the names given to `field`.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 import msgspec
 from msgspec import field
 
-MAY_HAVE_RUN = "may have run"  # in an instance's answer to a load whose end it does not know
-MAX_ATTEMPTS = 50  # of a client that repeats a load until it has its answer
+MAY_HAVE_RUN = "may have run"  # text of an instance's answer to a load whose end is unknown
+MAX_ATTEMPTS = 50  # of a client that retries a load until it receives its result
 MAX_RETRY_DELAY_MS = 1000.0
 
 
 class RequestEnd(StrEnum):
-    """How an attempt of a client ended, by the word that stands for it in the clients' log."""
+    """How an attempt of a client ended; the values are events of the clients' log."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -26,12 +26,20 @@
     UNREACHED = "unreached"
 
 
-# Ends after which a client does not know whether its load has run, or knows that it has not.
+# Ends that mean that a load has not run, or may or may not have run.
 WITHOUT_RESULT = (RequestEnd.BROKEN, RequestEnd.TIMED_OUT, RequestEnd.REFUSED, RequestEnd.UNREACHED)
 
 
 class RequestClass(msgspec.Struct, frozen=True):
-    """A class of requests. share: its part of all requests. work_ms: on an engine with the default traits."""
+    """A class of requests.
+
+    Attributes:
+        name: Name of the query class.
+        share: Relative share of all requests.
+        patience_ms: How long clients wait for the result, including retries, in ms.
+        work_ms: Work on an engine with the default traits, in ms.
+        is_load: Whether the requests are loads.
+    """
 
     name: str
     share: float
@@ -43,11 +51,15 @@
 class ClientBehaviour(msgspec.Struct, frozen=True):
     """How clients behave.
 
-    retry_after_share: the part of clients that stay away as long as they are advised. failure_detection_ms:
-    until the load balancer sends no more clients to an instance that is down. retries_unfinished_loads: a
-    load whose end the client did not receive is sent again, as often as its patience allows.
-    retries_failed_loads: also one of which an instance said that it may have run. response_timeout_ms: how
-    long such a client waits for one response; 0: for all of its patience.
+    Attributes:
+        max_attempts: Largest number of attempts for requests that are not retried as unfinished loads.
+        retry_delay_ms: Delay before a retry if the response advises none, in ms.
+        retry_after_share: Share of the clients that obey the retry delay in the response.
+        failure_detection_ms: Time until the load balancer stops using a failed instance, in ms.
+        retries_unfinished_loads: Clients retry a load until they receive its result or their patience ends.
+        retries_failed_loads: They also retry a load after a response that it may have run.
+        response_timeout_ms: How long a client that retries unfinished loads waits for one response, in ms; 0
+            for the rest of its patience.
     """
 
     max_attempts: int = field(name="tries", default=1)
@@ -59,7 +71,14 @@
     response_timeout_ms: float = field(name="hears", default=0.0)
 
     def retries_after(self, is_load: bool, end: RequestEnd, text: str, attempts: int) -> bool:
-        """Return whether a client tries again when its attempt number `attempts`, from 1, has ended so."""
+        """Return whether a client retries after an attempt.
+
+        Args:
+            is_load: Whether the request is a load.
+            end: How the attempt ended.
+            text: Text of the response.
+            attempts: Number of the attempt, from 1.
+        """
         if is_load and self.retries_unfinished_loads and attempts < MAX_ATTEMPTS:
             if end in WITHOUT_RESULT:
                 return True
@@ -67,8 +86,10 @@
         return end in (RequestEnd.REFUSED, RequestEnd.UNREACHED) and attempts < self.max_attempts
 
     def retry_delay_after_ms(self, attempts: int) -> float:
-        """Return the delay before the next attempt where none is advised: for clients that repeat loads, an
-        exponential backoff."""
+        """Return the delay before the next attempt if the response advises none, in ms.
+
+        Clients that retry unfinished loads use exponential backoff.
+        """
         if not self.retries_unfinished_loads:
             return self.retry_delay_ms
         backoff_ms = min(self.retry_delay_ms * 2.0 ** (attempts - 1), MAX_RETRY_DELAY_MS)
@@ -76,10 +97,22 @@
 
 
 class Load(msgspec.Struct, forbid_unknown_fields=True):
-    """The load of a run. rate_steps: (seconds from the start, factor of the rate) that hold from then on.
-
-    instance_zones: the zone of each instance; a client then belongs to a zone, reads data sets of its own
-    there, and is sent to another zone only if no instance of its own is up. zone_distances_ms: one way.
+    """The load of a run.
+
+    Attributes:
+        instance_ports: Client port of each instance.
+        requests_per_s: Request rate over all instances.
+        duration_s: Duration of the load, in s.
+        request_classes: Classes of requests, with their shares.
+        instance_weights: Relative share of the clients that each instance receives.
+        log_path: Path of the clients' log.
+        seed: Seed of all random choices.
+        behaviour: How clients retry and detect failures.
+        rate_steps: Pairs of a time, in s from the start, and the factor that the rate has from then on.
+        key_count: Number of ordering keys that loads use.
+        instance_zones: Zone of each instance; empty if clients belong to no zone. A client with a zone reads
+            that zone's data sets, and uses instances in other zones only if none in its own is up.
+        zone_distances_ms: One-way delay between zones, by pairs such as "a-b".
     """
 
     instance_ports: list[int] = field(name="ports")
--- a/cottonhold/emulator/fault_injection/defects.py
+++ b/cottonhold/emulator/fault_injection/defects.py
@@ -1,4 +1,4 @@
-"""Defects that an instance can be started with, to show that the checks of a run find them."""
+"""Defects that an instance can be started with, to test that the checks of a run detect them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _record_late() -> None:
-    """Send a load at once, and write its record a second later."""
+    """Send each load before its record is written, which happens RECORD_DELAY_S later."""
     original_put = Ledger.put
 
     def send_early(self: Ledger, records: Sequence[Record], on_written: OnWritten | None = None) -> None:
--- a/cottonhold/emulator/fault_injection/engine_traits.py
+++ b/cottonhold/emulator/fault_injection/engine_traits.py
@@ -1,6 +1,6 @@
-"""What an engine of a scenario is, and what is wrong with it. Pure.
+"""The properties of an emulated engine, including its faults. Pure.
 
-A scenario, a `traits` fault and the control line of an engine process give traits by the names in `field`.
+Scenarios, `traits` faults and the control lines of an engine process use the names given to `field`.
 """
 
 from __future__ import annotations
@@ -13,19 +13,25 @@
 
 
 class EngineTraits(msgspec.Struct, forbid_unknown_fields=True):
-    """The traits of an engine. Work is in ms on a warm engine.
-
-    work_ms, work_spread: the mean work of a request, and the sigma of its logarithm. class_factors: the work
-    of a class as a multiple of that. servers: requests that run at once. max_waiting: requests that wait.
-
-    cold_slowdown, warm_after_ms: how many times slower a started process is at first, and until when it is
-    not. overload_work_ms: work that may arrive within `overload_window_ms` on an engine at its coldest, and
-    proportionally more as it becomes faster; with more it stops responding for good. 0: it never does.
-
-    slowdown: a fault: how many times slower it is. failure_share: the part of requests that crash.
-
-    warm_data_sets: how many data sets it holds in memory, those read last; 0: all. One that has not been read
-    for `data_set_expiry_ms` is cold: a request that reads it does `cold_data_set_factor` times the work.
+    """The traits of an engine. Work is in ms on a warm engine without faults.
+
+    Attributes:
+        work_ms: Mean work of a request, in ms.
+        work_spread: Standard deviation of the logarithm of the work.
+        servers: Number of requests that run concurrently.
+        max_waiting: Number of requests that can wait; further ones are rejected.
+        cold_slowdown: Factor by which a newly started process is slower. It decreases linearly to 1.
+        warm_after_ms: Time from the start until the process is warm, in ms.
+        overload_work_ms: Work that may arrive within `overload_window_ms` at a newly started engine, in ms.
+            The limit grows with the engine's speed. With more work a cold engine stops responding for good; 0
+            for no limit.
+        overload_window_ms: Length of that window, in ms.
+        slowdown: Fault: factor by which the engine is slower.
+        failure_share: Fault: share of requests that crash.
+        class_factors: Factor of the work, by class.
+        warm_data_sets: Number of data sets that fit in memory, the last read ones; 0 for all.
+        cold_data_set_factor: Factor of the work of a request that reads a cold data set.
+        data_set_expiry_ms: Time without a read after which a data set is cold, in ms.
     """
 
     work_ms: float = field(name="work", default=20.0)
@@ -44,21 +50,25 @@
     data_set_expiry_ms: float = field(name="set_ms", default=10_000.0)
 
     def slowdown_at(self, age_ms: float) -> float:
-        """Return how many times slower than a warm and well engine it is, at an age of its process."""
+        """Return the factor by which the engine is slower than a warm faultless one, by its age in ms."""
         return self.slowdown * self.warmup_slowdown_at(age_ms)
 
     def warmup_slowdown_at(self, age_ms: float) -> float:
-        """Return how many times slower than a warm engine it is, at an age of its process."""
+        """Return the factor by which the engine is slower than a warm one, by its age in ms."""
         if self.warm_after_ms <= 0:
             return 1.0
         return 1 + (self.cold_slowdown - 1) * max(0.0, 1 - age_ms / self.warm_after_ms)
 
     def overload_limit_ms(self, age_ms: float) -> float:
-        """Return the work that may arrive within the window, at an age of its process."""
+        """Return the work that may arrive within the window, in ms, by the engine's age in ms."""
         return self.overload_work_ms * self.cold_slowdown / self.warmup_slowdown_at(age_ms)
 
     def change(self, name: str, value: Any) -> None:
-        """Set a trait by its outside name. Raises KeyError."""
+        """Set a trait by its name in a scenario.
+
+        Raises:
+            KeyError: There is no such trait.
+        """
         setattr(self, ATTRIBUTES[name], value)
 
 
@@ -66,5 +76,9 @@
 
 
 def decode_traits(traits: Mapping[str, Any]) -> EngineTraits:
-    """Return traits given by their outside names. Raises msgspec.ValidationError."""
+    """Return the traits with the given values, by their names in a scenario.
+
+    Raises:
+        msgspec.ValidationError: A name is unknown, or a value has a wrong type.
+    """
     return msgspec.convert(traits, EngineTraits)
--- a/cottonhold/emulator/fault_injection/executions.py
+++ b/cottonhold/emulator/fault_injection/executions.py
@@ -1,8 +1,8 @@
-"""Rules about loads by what they are, across requests and instances: run once, one at a time on a key, in
-order. Pure.
+"""Checks rules about loads across requests and instances. Pure.
 
-A client that repeats a load sends another request id, maybe to another instance, so ids identify no load. Its
-statement does: by its key and its number.
+Each load runs once; loads on one key run one at a time and in order. A client that retries a load uses
+another request id and maybe another instance, so a load is identified by the key and the number in its
+statement.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     Verdict,
 )
 
-NEVER_RAN = ("overload", "nobody", "crashed")  # statuses that prove that nothing of a load was done
+NEVER_RAN = ("overload", "nobody", "crashed")  # engine statuses that mean that no part of the load has run
 
 
 @dataclass(slots=True)
 class LoadHistory:
-    """One load: its client's attempts, and its executions in the order in which they began."""
+    """One load, with its client's attempts, and its executions in the order in which they began."""
 
     key: str
     number: int
@@ -34,19 +34,19 @@
 
     @property
     def notified_at(self) -> float:
-        """When its client had received the end of its last attempt."""
+        """When the client's last attempt ended; infinite without attempts."""
         return max((attempt.ended_at for attempt in self.attempts), default=math.inf)
 
     @property
     def requested_at(self) -> float:
-        """When its client made its first attempt."""
+        """When the client made its first attempt."""
         return min((attempt.started_at for attempt in self.attempts), default=-math.inf)
 
 
 def load_histories(
     requests: Mapping[str, RequestLog], executions: Mapping[str, Sequence[Execution]]
 ) -> list[LoadHistory]:
-    """Return all loads that arrived at an engine. One that did not begin there is no execution."""
+    """Return all loads that arrived at an engine, with those of their executions that began."""
     works: dict[tuple[str, int], LoadHistory] = {}
     attempts: dict[int, list[RequestLog]] = defaultdict(list)
     for request in requests.values():
@@ -67,8 +67,11 @@
 
 
 def check_executions(history: RunHistory, verdict: Verdict) -> None:
-    """Each load is run once. Where the scenario says so, also: one of a key at a time over all instances, and
-    one that was requested after another's end was known begins after it."""
+    """Check that each load ran once and, if the scenario orders loads across instances, in order.
+
+    In order means that loads on one key run one at a time, and that a load which was requested after the
+    client of another load had received its end begins after that load.
+    """
     works = load_histories(history.requests, history.executions)
     _check_duplicates(works, verdict)
     _count_retries(history, verdict)
@@ -116,7 +119,7 @@
     """Return a finding for each execution that began while another load of its key ran."""
     findings = []
     for key, rows in _executions_by_key(works).items():
-        last: tuple[Execution, LoadHistory] | None = None  # of those that began, the one that ends last
+        last: tuple[Execution, LoadHistory] | None = None  # the one that ends last of those that began
         for execution, work in rows:
             if last is not None and last[1] is not work and execution.began_at < last[0].ended_at:
                 where = f"{last[0].engine} and {execution.engine}"
@@ -129,11 +132,10 @@
 
 
 def _reversals(works: Sequence[LoadHistory]) -> list[str]:
-    """Return a finding for each load that began after one of its key which was requested when the former's
-    end was known."""
+    """Return a finding for each load that began after a load of its key that was requested after its end."""
     findings = []
     for key, rows in _executions_by_key(works).items():
-        last: LoadHistory | None = None  # of those that have begun, the one that was requested last
+        last: LoadHistory | None = None  # the one that was requested last of those that began
         for _, work in rows:
             if last is not None and work.notified_at < last.requested_at:
                 findings.append(
--- a/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
+++ b/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
@@ -1,8 +1,8 @@
-"""Scenarios in which being served in another zone has a cost: zones are distant, and engines hold only some
-data sets in memory.
+"""Scenarios in which service in another zone has a cost: zones are distant, and engines hold only some data
+sets in memory.
 
-Two instances and three engines stand in each of three zones; clients read data sets of their own zone. Two
-zones are near one another, the third is far.
+There are two instances and three engines in each of three zones, and clients read data sets of their own
+zone. Two zones are close to each other, the third is distant.
 """
 
 from __future__ import annotations
@@ -17,14 +17,21 @@
 TRAITS = {
     "tip": 1000.0,
     "tip_window": 1500.0,
-    "datasets": 14,  # two zones' worth of the 21 that there are
+    "datasets": 14,  # the data sets of two zones; there are 21 in all
     "set_cold": 1.8,
     "set_ms": 3000.0,
 }
 
 
 def failover_cost_scenario(name: str, description: str, *faults: Fault, **fields: Any) -> Scenario:
-    """Return a scenario in which something of a zone is out from 8 to 18 s."""
+    """Return a scenario in which a zone fails, wholly or in part, from 8 to 18 s.
+
+    Args:
+        name: Name of the scenario.
+        description: Description in a few words.
+        faults: Faults to inject.
+        fields: Further fields of the scenario, which override the defaults.
+    """
     defaults: dict[str, Any] = {
         "duration_s": 28.0,
         "outage_at_s": OUTAGE_AT_S,
@@ -41,7 +48,7 @@
 
 
 def outage(*targets: str) -> tuple[Fault, ...]:
-    """Kill targets and start them again."""
+    """Return faults that kill each target at the outage and start it again at the recovery."""
     return tuple(
         f for t in targets for f in (Fault(OUTAGE_AT_S, "power", t), Fault(RECOVERED_AT_S, "start", t))
     )
@@ -53,33 +60,34 @@
 )
 
 SCENARIOS = [
-    failover_cost_scenario("outlook-calm", "nothing fails where zones are apart"),
-    failover_cost_scenario(
-        "outlook-lost", "a zone's engines are lost, its clients' instances are not", *outage("a")
-    ),
-    failover_cost_scenario("outlook-dark", "all hosts of a zone are lost", *outage("zone-a")),
+    failover_cost_scenario("outlook-calm", "nothing fails, with distance between zones"),
+    failover_cost_scenario("outlook-lost", "a zone's engines fail, its instances do not", *outage("a")),
+    failover_cost_scenario("outlook-dark", "all hosts of a zone fail", *outage("zone-a")),
     failover_cost_scenario("outlook-ill", "a zone is ten times slower", *SLOW),
     failover_cost_scenario(
-        "outlook-half", "a zone and half of the next are lost", *outage("a", "b0"), requests_per_s=200.0
+        "outlook-half", "a zone and one engine of the next fail", *outage("a", "b0"), requests_per_s=200.0
     ),
     failover_cost_scenario(
         "outlook-uneven",
-        "half of all clients belong to the zone that is lost",
+        "a zone fails to which half of all clients belong",
         *outage("a"),
         instance_weights=(4, 4, 2, 2, 2, 2),
     ),
     failover_cost_scenario(
-        "outlook-full", "a zone is lost where the others can't carry all", *outage("a"), requests_per_s=340.0
+        "outlook-full",
+        "a zone fails, and the others can't serve all requests",
+        *outage("a"),
+        requests_per_s=340.0,
     ),
     failover_cost_scenario(
         "outlook-lossy",
-        "a zone is lost, and half of the datagrams",
+        "a zone fails, and half of the datagrams are lost",
         Fault(2.0, "peers", "n*", "n*", {"loss": 0.5}),
         *outage("a"),
     ),
     failover_cost_scenario(
         "outlook-short",
-        "a small zone is lost: for every run of the tests",
+        "a zone of a small fleet fails; played in every run of the tests",
         Fault(4.0, "power", "a"),
         Fault(8.0, "start", "a"),
         duration_s=12.0,
--- a/cottonhold/emulator/fault_injection/instance.py
+++ b/cottonhold/emulator/fault_injection/instance.py
@@ -1,11 +1,11 @@
-"""An instance on a faulty machine: its wall clock is off, its disk loses what was not synced.
+"""Runs an instance on a faulty machine, whose wall clock is off or whose disk loses unsynced writes.
 
     python -m cottonhold.emulator.fault_injection.instance n3.json MACHINE
 
 MACHINE is JSON such as {"clock_s": -86400, "disk": "n3.disk.json"}.
 
-The program is the same; what is replaced is the machine under it. The wall clock as C code reads it
-(datetime) stays as it is, and so does `time.time` in a module that imported the function itself before.
+The program is unchanged; only the clock and the disk under it are replaced. The wall clock that C code reads
+(datetime) is not shifted, nor is `time.time` in a module that had imported the function itself before.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def shift_wall_clock(offset_s: float) -> None:
-    """Shift the wall clock of this process by so many seconds; the monotonic one stays."""
+    """Shift the wall clock of this process by `offset_s` seconds; the monotonic clock is unchanged."""
     real, real_ns, offset_ns = time.time, time.time_ns, int(offset_s * 1e9)
     wall: Callable[[], float] = lambda: real() + offset_s  # noqa: E731
     wall_ns: Callable[[], int] = lambda: real_ns() + offset_ns  # noqa: E731
@@ -30,8 +30,11 @@
 
 
 def install_faulty_disk(control: str) -> bool:
-    """Put the store of this process on a disk that loses and fails as the control file says; return whether
-    there is a store."""
+    """Put the store of this process on a faulty disk; return whether this version has a store.
+
+    Args:
+        control: Path of the control file with the disk's faults; see emulator/disk.py.
+    """
     from importlib import import_module
 
     try:
@@ -44,7 +47,12 @@
 
 
 def main(path: str, machine: dict[str, Any]) -> int:
-    """Serve by a configuration file, on such a machine; return the exit code."""
+    """Run an instance, and return its exit code.
+
+    Args:
+        path: Path of the configuration file.
+        machine: Faults of the machine: `clock_s`, `disk` and `defect`, all optional.
+    """
     if machine.get("clock_s"):
         shift_wall_clock(float(machine["clock_s"]))
     if machine.get("disk"):
@@ -59,8 +67,10 @@
 
 
 def load_and_wait() -> int:
-    """Load the program, and serve once a line of standard input says by which file and on which machine; end
-    if none does."""
+    """Load the program, wait for the settings on standard input, and run the instance; return the exit code.
+
+    The settings are one line with the JSON array [path, machine]. Without one the process ends.
+    """
     from importlib import import_module, util
 
     for name in (
--- a/cottonhold/emulator/fault_injection/instance_config.py
+++ b/cottonhold/emulator/fault_injection/instance_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of an instance in a scenario run. Pure."""
+"""Builds the configuration file of an instance in a scenario run. Pure."""
 
 from __future__ import annotations
 
@@ -19,11 +19,15 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceAddresses:
-    """The ports of an instance.
-
-    peer_addresses: the public address of each instance, by number; datagrams sent there arrive at its own
-    `peer_port`. engine_ports: of its link to each engine. source_port: of its link to the source of the
-    engine list, where the scenario has one.
+    """The ports of an instance and of its links.
+
+    Attributes:
+        client_port: Port for clients.
+        peer_port: UDP port of the instance.
+        peer_addresses: Public address of each instance, by its number; the switch forwards datagrams sent
+            there to that instance's `peer_port`.
+        engine_ports: Port of the link to each engine, by the engine's name.
+        source_port: Port of the link to the source of the engine list; 0 if the scenario has none.
     """
 
     client_port: int
@@ -36,7 +40,7 @@
 def instance_config(
     scenario: Scenario, name: str, addresses: InstanceAddresses, state_folder: Path
 ) -> dict[str, Any]:
-    """Return the configuration of an instance, as `cottonhold serve` reads it."""
+    """Return the configuration of an instance, in the format of the file that `cottonhold serve` reads."""
     number = int(name[1:])
     config: dict[str, Any] = {
         "name": name,
@@ -61,7 +65,7 @@
         },
         "status_socket": f"{name}.sock",
     }
-    # Earlier versions of the program do not know the keys below, and play scenarios that need none of them.
+    # Earlier versions of the program reject the keys below, so they are set only where a scenario needs them.
     if scenario.has_state_folders:
         config["state_dir"] = str(state_folder)
         config["membership"]["voters"] = _voters(scenario)
--- a/cottonhold/emulator/fault_injection/network.py
+++ b/cottonhold/emulator/fault_injection/network.py
@@ -1,4 +1,4 @@
-"""The network of a scenario run: every process's port, and the links and datagram paths between them."""
+"""The network of a scenario run: the ports of all processes, and the links and datagram paths."""
 
 from __future__ import annotations
 
@@ -14,15 +14,18 @@
 from cottonhold.emulator.fault_injection.zone_distances import distance_ms, zone_of
 from cottonhold.emulator.process_fleet import free_ports
 
-# Instance, engine, what happened on the link between them, and the id of the request.
+# Called with an instance, an engine, an event on the link between them, and the request id.
 OnLinkEvent = Callable[[str, str, str, str], None]
-# Added to the scenario's seed, so that no two links draw alike.
+# Added to the scenario's seed, so that each link has its own random sequence.
 CLIENT_LINK_SEED, SOURCE_LINK_SEED = 1000, 2000
 
 
 class ScenarioNetwork:
-    """All links of a run. Each instance reaches each engine, and its source of the engine list, by a link of
-    its own; clients reach each instance by one. Datagrams between instances go through one switch."""
+    """All links of a run.
+
+    Each instance has its own link to each engine and to its source of the engine list. Clients connect to
+    each instance by one link. Datagrams between instances pass through one switch.
+    """
 
     def __init__(self, scenario: Scenario, on_link_event: OnLinkEvent) -> None:
         self.scenario, self.on_link_event = scenario, on_link_event
@@ -63,7 +66,7 @@
         return lambda event, request_id: self.on_link_event(instance, engine, event, request_id)
 
     async def _start_sources(self) -> None:
-        """Start a Consul for each instance, since each reaches the engines by links of its own."""
+        """Start a Consul for each instance, since each instance has its own addresses of the engines."""
         for number, name in enumerate(self.instance_ports):
             server = self.consuls[name] = Server()
             for engine in self.engine_ports:
@@ -104,14 +107,18 @@
         return self.scenario.instance_zones[int(name[1:])] if name in self.instance_ports else zone_of(name)
 
     def peer_path(self, sender: int, receiver: int, faults: Mapping[str, Any]) -> NetworkPath:
-        """Return the path of datagrams between two instances, by number, with such faults on it."""
+        """Return the path of datagrams between two instances, by their numbers, with the given faults."""
         delay_ms = self.distance_ms(f"n{sender}", f"n{receiver}")
         return network_path(dict(faults) | {"delay": faults.get("delay", 0.0) + delay_ms})
 
 
 def link_state(options: Mapping[str, Any], distance_ms: float = 0.0) -> Link:
-    """Return the state of a link under a fault with these options; `forth` and `back` alone cut that
-    direction. distance_ms: the delay one way that the link has without any fault."""
+    """Return the state of a link under a fault.
+
+    Args:
+        options: Options of the fault. `cut` blocks both directions, `forth` or `back` only one.
+        distance_ms: One-way delay of the link without faults, in ms.
+    """
     shared = {name: value for name, value in options.items() if name in ("delay", "jitter", "slow")}
     shared["delay"] = shared.get("delay", 0.0) + distance_ms
     is_blocked = bool(options.get("cut"))
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a scenario: they request a rolling replacement, and change machines once a view allows it."""
+"""Emulated operators, who request a rolling replacement and replace each machine once that is allowed."""
 
 from __future__ import annotations
 
@@ -13,17 +13,20 @@
 if TYPE_CHECKING:
     from cottonhold.emulator.fault_injection.harness import ScenarioRun
 
-POLL_INTERVAL_S = 0.2  # between two reads of the views
-RETRY_INTERVAL_S = 1.0  # until a request is repeated that no instance answered
+POLL_INTERVAL_S = 0.2  # between reads of the instances' views
+RETRY_INTERVAL_S = 1.0  # before a request that the instance did not answer is repeated
 MAX_ATTEMPTS = 10
 DEFAULT_ABSENCE_S = 1.5
 
 
 class Operators:
-    """One request for a rolling replacement, at one instance.
+    """One request for a rolling replacement, sent to one instance.
 
-    options: the fields of the call, where `machines` may be a target that names instances; `gone`: seconds
-    for which an instance is absent; `empty`: it returns with an empty state folder.
+    Args:
+        run: The run.
+        instance: Name of the instance that receives the request.
+        options: Fields of the call, where `machines` may be a target of a fault. `gone` is the time for which
+            an instance is absent, in s. With `empty`, instances return with an empty state folder.
     """
 
     def __init__(self, run: ScenarioRun, instance: str, options: dict[str, Any]) -> None:
@@ -39,7 +42,7 @@
         self.pending_machines: set[str] = set()
 
     async def run(self) -> None:
-        """Send the request, then change each machine as soon as it may be, until all are done."""
+        """Send the request, then replace each machine as soon as the instances allow it."""
         if not await self._request_replacement():
             return
         while self.pending_machines:
@@ -72,7 +75,7 @@
         )
 
     async def _replace_instance(self, name: str) -> None:
-        """End an instance, and start another machine under its name."""
+        """End an instance, and start it again after its absence."""
         await self.scenario_run.apply(Fault(0.0, "end", name))
         await asyncio.sleep(self.absence_s)
         if self.empties_folder:
@@ -80,7 +83,7 @@
         await self.scenario_run.apply(Fault(0.0, "start", name))
 
     async def _replace_engine(self, name: str) -> None:
-        """Cut its power until the instances have seen that, and start a new one, which is cold."""
+        """Kill an engine, wait until the instances report its absence, and start a new one, which is cold."""
         await self.scenario_run.apply(Fault(0.0, "power", name))
         self.scenario_run.timeline.append(f"{name} is taken out")
         while not (await self._replacement_rows()).get(name, {}).get("away", True):
@@ -89,7 +92,7 @@
         self.scenario_run.timeline.append(f"{name} is in place")
 
     async def _replacement_rows(self) -> dict[str, dict[str, Any]]:
-        """Return what any instance reports of each machine; a report that it may be changed comes first."""
+        """Return a report on each machine; one that it is ready or absent takes precedence."""
         rows: dict[str, dict[str, Any]] = {}
         for name in self.scenario_run.running_instances():
             view = await asyncio.to_thread(self.scenario_run.view, name)
--- a/cottonhold/emulator/fault_injection/parent_death_signal.py
+++ b/cottonhold/emulator/fault_injection/parent_death_signal.py
@@ -1,7 +1,6 @@
-"""Becomes a program that the kernel ends together with its parent, so that a harness that is killed leaves no
-processes behind:
+"""Runs a program that the kernel kills when its parent ends, so that a killed harness leaves no processes:
 
-    python -m cottonhold.emulator.fault_injection.parent_death_signal PARENT PROGRAM ARGS
+python -m cottonhold.emulator.fault_injection.parent_death_signal PARENT PROGRAM ARGS
 """
 
 from __future__ import annotations
@@ -12,13 +11,15 @@
 import sys
 
 PR_SET_PDEATHSIG = 1
-# In place of its settings: a process loads its program, and reads them from standard input.
+# Argument in place of the settings: a process loads its program, then reads the settings from standard input.
 WAIT_FOR_SETTINGS = "--waits"
 
 
 def read_settings() -> str:
-    """Return one line of standard input; empty at its end. Byte by byte: what follows is for another
-    reader."""
+    """Return one line of standard input, or an empty text at its end.
+
+    It is read byte by byte, since the bytes that follow belong to another reader.
+    """
     settings = b""
     while (byte := os.read(0, 1)) and byte != b"\n":
         settings += byte
@@ -26,16 +27,16 @@
 
 
 def bound_to_this_process(arguments: list[str]) -> list[str]:
-    """Return the command that runs Python with these arguments, and ends together with this process."""
+    """Return a command that runs Python with these arguments and is killed when this process ends."""
     module = "cottonhold.emulator.fault_injection.parent_death_signal"
     return [sys.executable, "-m", module, str(os.getpid()), sys.executable, *arguments]
 
 
 def main(parent: int, program: list[str]) -> None:
-    """Ask for the signal, check that the parent is still there, and become the program."""
+    """Request the parent death signal, check that the parent still runs, and execute the program."""
     if ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL), 0, 0, 0):
         sys.exit(f"guard: prctl: {os.strerror(ctypes.get_errno())}")
-    if os.getppid() != parent:  # it died before the signal was asked for
+    if os.getppid() != parent:  # the parent ended before the signal was requested
         sys.exit(1)
     os.execv(program[0], program)
 
--- a/cottonhold/emulator/fault_injection/power_loss_run.py
+++ b/cottonhold/emulator/fault_injection/power_loss_run.py
@@ -36,9 +36,7 @@
 MIN_TIMEOUT_MS = 1400.0  # attempts with a shorter timeout may fail because the machine is busy
 MAX_SEND_DELAY_S = 0.3  # an attempt that was sent later than this does not count as unanswered
 FINAL_PHASE_S = 120.0  # at the end of a scenario, without power losses
-SETTLE_S = (
-    LOAD_RETENTION_S + 4.0
-)  # until every instance's load records are complete and retried loads are forgotten
+SETTLE_S = LOAD_RETENTION_S + 4.0  # until load records are complete, and retried loads are forgotten
 LOG_POLL_INTERVAL_S = 0.1
 STALL_CHECK_INTERVAL_S, MIN_STALL_S = 0.05, 0.25
 
@@ -74,14 +72,7 @@
 
 
 class PowerLossCounts(msgspec.Struct, array_like=True):
-    """Counts of loads by their state at a power loss, and of the answers to retries until the next one.
-
-    Attributes:
-        in_flight: Loads whose clients were waiting for an answer.
-        at_engines: Loads that were running at an engine.
-        unreported: Loads that had begun although their clients had received no result.
-        answers: Answers to retries, by RetryAnswer.
-    """
+    """The counts of an ObservedPowerLoss, as written to the result file."""
 
     in_flight: int
     at_engines: int
@@ -225,11 +216,7 @@
     async def until(
         self, condition: Callable[[], bool], what: str, seconds: float = SERVING_TIMEOUT_S
     ) -> None:
-        """Wait until a condition holds, with a longer default timeout than ScenarioRun.
-
-        Raises:
-            ScenarioRunError: The condition did not hold within the time.
-        """
+        """Wait as ScenarioRun.until does, with a longer default timeout."""
         await super().until(condition, what, seconds)
 
     def read_logs(self) -> None:
--- a/cottonhold/emulator/fault_injection/power_losses.py
+++ b/cottonhold/emulator/fault_injection/power_losses.py
@@ -1,4 +1,4 @@
-"""Power losses of one small fleet, drawn from a seed one after another. Pure."""
+"""Generates random power losses of one small fleet from a seed. Pure."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
+# Probability that an instance is not restarted, and the largest number of restarts that it misses.
 ABSENCE_PROBABILITY, MAX_ABSENT_RETURNS = 0.12, 3
-BACKUP_PROBABILITY = 0.7  # of a backup that is put back, when a hold has passed
+BACKUP_PROBABILITY = 0.7  # that a backup is restored at a power loss that waits until all have settled
 EMPTIED_PROBABILITY, COPY_PROBABILITY = 0.08, 0.15
 MAX_RETURNS_UNTIL_SETTLED = 2
 MAX_RETURNS_UNTIL_PUT_BACK = 4
@@ -20,8 +21,14 @@
 
 
 class PowerLossMoment(Enum):
-    """When power is lost: ANY, while loads are served; FSYNC, the same with all disks stalled in a sync;
-    START, right after instances were started; RECOVERY, after the first of them is up."""
+    """When power is lost.
+
+    Members:
+        ANY: While loads are served.
+        FSYNC: While loads are served and all disks are stalled in a sync.
+        START: Shortly after the restart began; some instances may not have started.
+        RECOVERY: After the first instance is up.
+    """
 
     ANY = "any"
     FSYNC = "fsync"
@@ -40,15 +47,27 @@
 
 @dataclass(slots=True, frozen=True)
 class PowerLoss:
-    """One power loss and the return after it.
-
-    delay_s: after its moment. stalled_s: so long the disks hung in a sync before it. outage_s: until anything
-    is back. order, gaps_s: instances that return, and the time before each. engine_delay_s: when the engines
-    are back, counted from the first instance. away: instances that do not return yet. emptied, restored:
-    whose folder is lost, or put back as it was at an earlier loss; copied: whose folder is copied while there
-    is no power. backup: whose folder was copied long before this loss, while all were at rest, and is put
-    back now. clock_offsets_s: how far wall clocks are off. leak_share: of unsynced writes that got to the
-    disks all the same. waits_for_rest: this loss comes only after a whole hold has passed.
+    """One power loss and the restart after it.
+
+    Attributes:
+        number: Number of the power loss, from 1.
+        moment: What the fleet is doing when power is lost.
+        delay_s: Delay after that moment, in s.
+        stalled_s: How long the disks are stalled in a sync before the loss, in s.
+        outage_s: Time without power, in s.
+        order: Instances that are restarted, in this order.
+        gaps_s: Time before the start of each of them, in s.
+        engine_delay_s: Start of the engines relative to the begin of the first gap, in s; may be negative.
+        away: Instances that are not restarted yet.
+        emptied: Instance whose state folder is emptied; empty for none, like the next three.
+        restored: Instance whose state folder is replaced by the copy from an earlier power loss.
+        copied: Instance whose state folder is copied during the outage.
+        backup: Instance whose state folder is replaced by a backup, which was made a retention time before
+            this loss, while all instances sent loads.
+        clock_offsets_s: Offset of wall clocks, by instance, in s.
+        leak_share: Share of unsynced writes that reach the disks nevertheless.
+        waits_until_settled: The loss occurs only once all instances send loads and the retention time of
+            load records has passed since then.
     """
 
     number: int
@@ -87,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Countdown:
-    """An instance, and how many further power losses something about it lasts."""
+    """An instance, and the number of further power losses for which a condition of it lasts."""
 
     instance: str
     remaining: int
@@ -95,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FolderChanges:
-    """Whose folder is emptied, put back and copied at one power loss."""
+    """The instances whose folder is emptied, restored or copied at one power loss; empty for none."""
 
     emptied: str = ""
     restored: str = ""
@@ -103,22 +122,25 @@
 
 
 class PowerLossDraw:
-    """Draws the power losses of one fleet, one after another. At most one folder is wrong at a time: while no
-    instance is up that remembers more, several old folders cannot be detected (docs/design/power-loss.md)."""
+    """Draws the power losses of one fleet, one after another.
+
+    At most one folder is emptied or old at a time: several old folders cannot be detected unless an instance
+    with newer records is up (docs/design/power-loss.md).
+    """
 
     def __init__(self, seed: int, instances: Sequence[str]) -> None:
         self.random, self.instances = random.Random(seed), tuple(instances)
-        self.away: dict[str, int] = {}  # instances, and for how many returns more
-        self.copy: Countdown | None = None  # a folder that was copied, until it is put back
-        self.wrong_folder: Countdown | None = None  # until all are at rest again
+        self.away: dict[str, int] = {}  # remaining restarts that each absent instance misses
+        self.copy: Countdown | None = None  # a copied folder, until it is restored
+        self.wrong_folder: Countdown | None = None  # an emptied or old folder, until all have settled
 
     def power_losses(self, count: int) -> Iterator[PowerLoss]:
-        """Draw so many."""
+        """Draw `count` power losses."""
         for number in range(1, count + 1):
             yield self._draw(number)
 
     def _draw(self, number: int) -> PowerLoss:
-        """Draw one. The order of the draws is part of what a seed means."""
+        """Draw one power loss. A change in the order of the draws changes the result for every seed."""
         draw = self.random
         waits_for_rest = self._advance_countdowns()
         self._draw_absence()
@@ -148,7 +170,7 @@
         )
 
     def _advance_countdowns(self) -> bool:
-        """Count the return after the last power loss; return whether the next one waits until all rest."""
+        """Count the last restart; return whether the next power loss waits until all have settled."""
         self.away = {name: remaining - 1 for name, remaining in self.away.items() if remaining > 1}
         if self.wrong_folder is None:
             return False
@@ -164,7 +186,7 @@
             self.away = {draw.choice(candidates): draw.randint(1, MAX_ABSENT_RETURNS)}
 
     def _draw_backup(self) -> str:
-        """Draw whose folder is put back as it was while all were at rest; empty for nobody's."""
+        """Draw the instance whose folder is replaced by a backup; empty for none."""
         draw = self.random
         if self.away or draw.random() >= BACKUP_PROBABILITY:
             return ""
@@ -201,7 +223,7 @@
         return ((self.random.choice(present), self.random.choice(CLOCK_OFFSETS_S)),)
 
     def _draw_gaps_s(self, count: int) -> tuple[float, ...]:
-        """Draw the times between starts: all in one instant, one by one, or half of them late."""
+        """Draw the times between starts: all simultaneous, one by one, or half of them late."""
         draw, kind = self.random, self.random.random()
         if kind < 0.3:
             return (0.0,) * count
--- a/cottonhold/emulator/fault_injection/processes.py
+++ b/cottonhold/emulator/fault_injection/processes.py
@@ -24,10 +24,15 @@
 
 
 class ScenarioProcesses:
-    """The processes that a run has started, and those that are loaded and wait to be started.
-
-    config_of: returns the configuration of an instance by name. forks: engines and instances are forked from
-    a process that has them loaded.
+    """The processes that a run has started, and those that have loaded their program and wait for settings.
+
+    Args:
+        scenario: The scenario.
+        folder: Folder for logs and configurations.
+        machines: Machines of the instances.
+        engine_ports: Port of each engine, by its name.
+        config_of: Returns the configuration of an instance, by its name.
+        forks: Whether engines and instances are forked from a process that has loaded their programs.
     """
 
     def __init__(
@@ -49,15 +54,15 @@
         return self.by_name[name]
 
     def is_running(self, name: str) -> bool:
-        """Return whether a process that was started has not ended."""
+        """Return whether a process that was started still runs."""
         return self.by_name[name].poll() is None
 
     def is_engine(self, name: str) -> bool:
-        """Return whether a name is an engine's."""
+        """Return whether a name belongs to an engine."""
         return name in self.engine_ports
 
     def start(self, name: str) -> None:
-        """Start an engine or an instance by its name."""
+        """Start an engine or an instance."""
         if self.is_engine(name):
             self.start_engine(name)
         else:
@@ -78,15 +83,17 @@
             self._start_and_register(name, program, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
 
     def start_instance(self, name: str) -> None:
-        """Start an instance at its addresses; its state is what its machine's folder holds."""
+        """Start an instance at its addresses, with the state folder of its machine."""
         path = self._write_config(name, self.config_of(name))
         machine = self.machines.start(name) if self.scenario.has_state_folders else {}
         if not self._start_prepared(name, [str(path), machine]):
             self._start_and_register(name, self._instance_program(name, path))
 
     def start_duplicate(self, name: str) -> None:
-        """Start a second process on an instance's state folder, at other ports. No peer knows its address, so
-        none takes its datagrams."""
+        """Start a second process on an instance's state folder, at other ports.
+
+        Its peer address is not in the configuration of the other instances, so they ignore its datagrams.
+        """
         duplicate = name + DUPLICATE_SUFFIX
         client_port = free_ports(1, socket.SOCK_STREAM)[0]
         peer_port = free_ports(1, socket.SOCK_DGRAM)[0]
@@ -97,22 +104,22 @@
         self._start_and_register(duplicate, self._instance_program(name, path))
 
     def start_clients(self, settings: dict[str, Any]) -> Process:
-        """Start the process that plays all clients."""
+        """Start the process that emulates all clients."""
         program = ["-m", f"{PACKAGE}.clients", json.dumps(settings)]
         return self._start_and_register("clients", program, stdout=subprocess.PIPE)
 
     def prepare(self, name: str) -> None:
         """Load the program of a process that a later fault starts; only with state folders and without forks.
 
-        Where many programs load at once on a busy machine, the seconds that it takes would be measured as the
-        fleet's own slowness.
+        When many programs load simultaneously on a busy machine, the loading time of several seconds would be
+        measured as a slow recovery of the fleet.
         """
         if not self.scenario.has_state_folders or self.worker_pool is not None or name in self.prepared:
             return
         if not self._is_started_by_a_fault(name):
             return
         program = "engine" if self.is_engine(name) else "instance"
-        stdout = subprocess.PIPE if self.is_engine(name) else None  # nobody reads what an instance prints
+        stdout = subprocess.PIPE if self.is_engine(name) else None  # the output of instances is not read
         self.prepared[name] = self._start_process(
             name, ["-m", f"{PACKAGE}.{program}", WAIT_FOR_SETTINGS], stdin=subprocess.PIPE, stdout=stdout
         )
@@ -124,11 +131,11 @@
         )
 
     def duplicates_running(self) -> list[str]:
-        """Return the names of second processes that have not ended."""
+        """Return the names of the second processes that still run."""
         return [name for name in self.by_name if name.endswith(DUPLICATE_SUFFIX) and self.is_running(name)]
 
     def kill_all(self) -> None:
-        """Kill every process that was started and has not ended. May be called again."""
+        """Kill every process that still runs; repeated calls have no effect."""
         processes = [*self.by_name.values(), *self.prepared.values()]
         for process in processes:
             if process.poll() is None:
@@ -163,7 +170,7 @@
             return subprocess.Popen(bound_to_this_process(program), stderr=log, **streams)
 
     def _start_prepared(self, name: str, settings: object) -> bool:
-        """Hand its settings to a process that was prepared; return whether there was one."""
+        """Send settings to the prepared process of a name, if there is one; return whether there was."""
         process = self.prepared.pop(name, None)
         if process is None or process.poll() is not None or process.stdin is None:
             return False
--- a/cottonhold/emulator/fault_injection/recovery_quality.py
+++ b/cottonhold/emulator/fault_injection/recovery_quality.py
@@ -1,5 +1,4 @@
-"""What a recovery from a power loss was worth, second by second, and whether it was the same for all
-instances. Pure."""
+"""Measures the utility served in a recovery from a power loss, and differences between instances. Pure."""
 
 from __future__ import annotations
 
@@ -21,10 +20,10 @@
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.utility_figures import first_attempts, ratio, step_of
 
-REPORTED_SECONDS = 12  # from the return of power on, one by one
-MIN_REQUESTS = 10  # of a class in a second, for an instance to be compared in it
-MIN_REQUESTS_OVERALL = 50
-SETTLED_S = 3.0  # from the last start, and from when the engines are warm
+REPORTED_SECONDS = 12  # seconds after the restart that have a figure each
+MIN_REQUESTS = 10  # of a class in one second, for an instance to be compared with others
+MIN_REQUESTS_OVERALL = 50  # of a class in the whole recovery, for an instance to be compared with others
+SETTLED_S = 3.0  # time after the last start, and after the engines are warm, until the recovery has ended
 REPORTED_ENDS = (
     RequestEnd.REFUSED,
     RequestEnd.FAILED,
@@ -38,10 +37,17 @@
 def measure_recovery(history: RunHistory, verdict: Verdict) -> None:
     """Measure a recovery.
 
-    return_*: shares of the utility of all that clients first requested in a time, also where no instance was
-    up; with `_of_most`: of what of it the engines could have done, cold as they are. unlike_*: the largest
-    difference between instances in what became of equal requests: over the whole recovery (`unlike_error`:
-    its standard error), by class, and in any one second.
+    Figures:
+        return_*: Utility served in a time span, as a share of the utility of all requests that clients first
+            sent in it, also while no instance was up. With the name of an end: number of attempts that ended
+            so.
+        return_*_of_most: Utility served, as a share of the most that the cold engines could have served.
+        unlike_return: Largest difference between two instances in the share of equal requests that they
+            served, over the whole recovery; `unlike_error` is its standard error.
+        unlike_return_*: The same for one class.
+        unlike_second: The same in any one second.
+        budget_most: Most work sent to a cold engine, as a share of what overloads it.
+        engines_pushed_over: Number of engines that were overloaded.
     """
     scenario, logs = history.scenario, history.logs
     traits = decode_traits(scenario.engine_traits)
@@ -88,12 +94,17 @@
 def possible_utility(
     scenario: Scenario, logs: RunLogs, requests: Mapping[str, RequestLog], capacity: Sequence[float]
 ) -> list[float]:
-    """Return the most utility that engines of such a capacity (ms of work, by step) could have served, by the
-    step of each client's first attempt: the classes that earn most per ms of work first, each request at any
-    time within its patience.
+    """Return the most utility that engines could have served, by the step of each client's first attempt.
 
-    Within each step alone, what waits at the end of an outage and is served a second later would count as
-    impossible.
+    The classes with the highest utility per ms of work are served first, each request at any time within its
+    patience. If each step were considered alone, requests that wait at the end of an outage and are served a
+    second later would count as impossible.
+
+    Args:
+        scenario: The scenario.
+        logs: Logs of the run.
+        requests: Attempts of the clients, by request id.
+        capacity: Work that the engines could do, by step, in ms.
     """
     remaining_ms, utility = list(capacity), [0.0] * len(capacity)
     offered: dict[str, Counter[int]] = defaultdict(Counter)
@@ -115,7 +126,7 @@
 
 
 def _count_ends(requests: Iterable[RequestLog], started_at: float, settled_at_s: float) -> EndCounts:
-    """Count the ends of all attempts that an instance answered, until all have settled."""
+    """Count the ends of attempts until the recovery has ended, without unreached, broken and open ones."""
     counts: EndCounts = defaultdict(lambda: defaultdict(Counter))
     for request in requests:
         since_start_s = request.started_at - started_at
@@ -144,9 +155,11 @@
 
 
 def _difference(counts: EndCounts, class_name: str) -> tuple[float, float]:
-    """Return the largest difference between two instances in one class, and its standard error. Each instance
-    is compared with what all got in the same seconds, so that one that was started late is not held against
-    what was served before."""
+    """Return the largest difference between two instances in one class, and its standard error.
+
+    Each instance is compared with the share that all instances served in the same seconds, so that one that
+    was started late is not compared with seconds before its start.
+    """
     excess: dict[int, float] = defaultdict(float)
     totals: Counter[int] = Counter()
     variance: dict[int, float] = defaultdict(float)
@@ -171,12 +184,11 @@
 
 
 def _max_budget_use(traits: EngineTraits, lines: Iterable[LogLine]) -> float:
-    """Return the most work that arrived at an engine within its window while it was cold, as a part of what
-    overloads it then."""
+    """Return the most work that a cold engine received within its window, as a share of what overloads it."""
     if not traits.overload_work_ms:
         return 0.0
     started_at, max_use = -math.inf, 0.0
-    recent: list[tuple[float, float]] = []  # when work arrived, and how much
+    recent: list[tuple[float, float]] = []  # time of arrival, and work in ms
     for at, event, _, *details in lines:
         if event == "start":
             started_at, recent = at, []
--- a/cottonhold/emulator/fault_injection/recovery_scenarios.py
+++ b/cottonhold/emulator/fault_injection/recovery_scenarios.py
@@ -1,7 +1,7 @@
-"""Scenarios of a power loss: everything is killed at once and returns with what its disks hold.
+"""Scenarios of a power loss: all processes are killed simultaneously and restart from their disks.
 
-Power is lost at 6 s. The engines return cold at 8 s, the instances one by one from 8 to 10.5 s. A fifth of
-the requests are loads, and clients repeat one whose end they did not receive.
+Power is lost at 6 s. The engines start cold at 8 s, the instances one by one from 8 to 10.5 s. A fifth of the
+requests are loads, and clients retry a load whose result they did not receive.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 POWER_LOSS_AT_S, POWER_RESTORED_AT_S = 6.0, 8.0
-START_INTERVAL_S = 0.5  # from one instance's start to the next one's
+START_INTERVAL_S = 0.5  # between the starts of two instances
 LOADS_AND_READS = (
     RequestClass("cheap", 0.5, 2000.0, 20.0),
     RequestClass("dear", 0.3, 2000.0, 20.0),
@@ -27,14 +27,22 @@
     begin: float = POWER_RESTORED_AT_S,
     interval_s: float = START_INTERVAL_S,
 ) -> tuple[Fault, ...]:
-    """Start instances one by one."""
+    """Return faults that start instances one by one."""
     return tuple(Fault(begin + interval_s * i, "start", f"n{n}") for i, n in enumerate(numbers))
 
 
 def recovery_scenario(
     name: str, description: str, *faults: Fault, power_loss_at_s: float = POWER_LOSS_AT_S, **fields: Any
 ) -> Scenario:
-    """Return a scenario in which all lose power; the faults say what returns, and when."""
+    """Return a scenario in which all processes lose power.
+
+    Args:
+        name: Name of the scenario.
+        description: Description in a few words.
+        faults: Further faults, including those that restart processes.
+        power_loss_at_s: Time of the power loss, in s.
+        fields: Further fields of the scenario, which override the defaults.
+    """
     defaults: dict[str, Any] = {
         "duration_s": 22.0,
         "request_classes": LOADS_AND_READS,
@@ -50,13 +58,19 @@
 ENGINES_START = Fault(POWER_RESTORED_AT_S, "start", "e*")
 ONE_BY_ONE = (ENGINES_START, *starts())
 INSTANCE_ZONES = ("a", "a", "b", "b", "c", "c")
-# Work of 60 ms, so that a small machine can offer three times the usual load: the engines do 150 a second.
+# With 60 ms of work the engines serve 150 requests a second, and a small machine can generate three times the
+# usual load.
 HEAVY = tuple(RequestClass(k.name, k.share, k.patience_ms, 60.0, k.is_load) for k in LOADS_AND_READS)
 
 
 def repeated_power_losses(*times_s: float) -> tuple[Fault, ...]:
-    """Cut the power at such times too, each time for a second. An instance whose start would be due while
-    there is no power is not started."""
+    """Return faults that restart all processes, and cut the power for a second at further times.
+
+    An instance whose start would fall into an outage is not started then.
+
+    Args:
+        times_s: Times of the further power losses, in s.
+    """
     power_losses = [Fault(at, "power", "*") for at in times_s]
     engine_starts = [Fault(at + 1.0, "start", "e*") for at in times_s]
     instance_starts = [*starts(), *(fault for at in times_s for fault in starts(begin=at + 1.0))]
@@ -67,51 +81,58 @@
 
 
 SCENARIOS = [
-    recovery_scenario("recover-all", "everything is killed at once and comes back", *ONE_BY_ONE),
+    recovery_scenario("recover-all", "all processes are killed simultaneously and restarted", *ONE_BY_ONE),
     recovery_scenario(
         "recover-again",
-        "power goes again three times while all come back",
+        "power is lost again three times during the restart",
         *repeated_power_losses(9.5, 12.0, 14.5),
         duration_s=28.0,
         power_restored_at_s=15.5,
     ),
     recovery_scenario(
         "recover-half-late",
-        "half of the instances come back 20 s after the others",
+        "half of the instances restart 20 s after the others",
         ENGINES_START,
         *starts(range(3)),
         *starts(range(3, 6), POWER_RESTORED_AT_S + 20.0),
         duration_s=36.0,
     ),
     recovery_scenario(
-        "recover-emptied", "one comes back with an empty folder", Fault(7.0, "empty", "n2"), *ONE_BY_ONE
+        "recover-emptied",
+        "one instance restarts with an empty state folder",
+        Fault(7.0, "empty", "n2"),
+        *ONE_BY_ONE,
     ),
     recovery_scenario(
         "recover-old",
-        "one comes back with a copy of its folder that was made while it ran",
-        Fault(0.5, "keep", "n2"),  # marks are made and told until power goes, on a busy machine too
+        "one instance restarts with an old copy of its state folder, made while it ran",
+        # The copy is made early: even on a busy machine, newer records are written and reported to peers
+        # before the power loss.
+        Fault(0.5, "keep", "n2"),
         Fault(7.0, "old", "n2"),
         *ONE_BY_ONE,
     ),
     recovery_scenario(
         "recover-twice",
-        "one folder is started twice",
+        "a second process is started on one state folder",
         *ONE_BY_ONE,
         Fault(POWER_RESTORED_AT_S + 1.6, "twice", "n2"),
     ),
     recovery_scenario(
         "recover-engines-before",
-        "the engines are back 4 s before the instances",
+        "the engines restart 4 s before the instances",
         ENGINES_START,
         *starts(begin=POWER_RESTORED_AT_S + 4.0),
         duration_s=26.0,
     ),
     recovery_scenario(
-        "recover-engines-with", "all are back in one instant", Fault(POWER_RESTORED_AT_S, "start", "*")
+        "recover-engines-with",
+        "all processes restart simultaneously",
+        Fault(POWER_RESTORED_AT_S, "start", "*"),
     ),
     recovery_scenario(
         "recover-engines-after",
-        "the engines are back 5 s after the first instance",
+        "the engines restart 5 s after the first instance",
         *starts(),
         Fault(POWER_RESTORED_AT_S + 5.0, "start", "e*"),
         duration_s=27.0,
@@ -119,7 +140,7 @@
     ),
     recovery_scenario(
         "recover-source-last",
-        "the source of the list is back after all others",
+        "the source of the engine list returns after all others",
         Fault(POWER_LOSS_AT_S, "source", "n*", options={"cut": True}),
         *ONE_BY_ONE,
         Fault(POWER_RESTORED_AT_S + 6.0, "source", "n*", options={"heal": True}),
@@ -128,7 +149,7 @@
     ),
     recovery_scenario(
         "recover-zone-dark",
-        "a zone's hosts do not come back",
+        "a zone's hosts do not restart",
         Fault(POWER_RESTORED_AT_S, "start", "a"),
         Fault(POWER_RESTORED_AT_S, "start", "b"),
         *starts(range(4)),
@@ -136,7 +157,7 @@
     ),
     recovery_scenario(
         "recover-lossy",
-        "30% of datagrams are lost and halves cut while all come back",
+        "30% of datagrams are lost, and two halves are separated, during the restart",
         Fault(POWER_LOSS_AT_S, "peers", "n*", "n*", {"loss": 0.3}),
         Fault(POWER_LOSS_AT_S + 1.0, "peers", "n0-2", "n3-5", {"cut": True}),
         *ONE_BY_ONE,
@@ -144,7 +165,7 @@
     ),
     recovery_scenario(
         "recover-disk-full",
-        "one comes back to a full disk, one to a stalled one, one to one that fails later",
+        "instances restart with a full disk, a stalled disk and one that fails later",
         Fault(7.0, "disk", "n1", options={"state": "full"}),
         Fault(7.0, "disk", "n3", options={"state": "stalled"}),
         *ONE_BY_ONE,
@@ -153,14 +174,14 @@
     ),
     recovery_scenario(
         "recover-clocks",
-        "machines come back with clocks that are years off",
+        "machines restart with clocks that are years off",
         Fault(7.0, "clock", "n0-2", options={"offset_s": -94_000_000.0}),
         Fault(7.0, "clock", "n4", options={"offset_s": 31_000_000.0}),
         *ONE_BY_ONE,
     ),
     recovery_scenario(
         "recover-threefold",
-        "clients come back at three times the usual",
+        "clients return with three times the usual load",
         *ONE_BY_ONE,
         request_classes=HEAVY,
         requests_per_s=90.0,
@@ -169,7 +190,7 @@
     ),
     recovery_scenario(
         "recover-short",
-        "a small fleet is killed at once and comes back: for every run of the tests",
+        "a small fleet is killed and restarted; played in every run of the tests",
         Fault(5.0, "start", "e*"),
         *starts(range(3), 5.0, 0.3),
         power_loss_at_s=3.5,
--- a/cottonhold/emulator/fault_injection/remote_service_cost.py
+++ b/cottonhold/emulator/fault_injection/remote_service_cost.py
@@ -1,5 +1,4 @@
-"""What it cost to be served in another zone: latency by distance, and work on data sets that were cold there.
-Pure."""
+"""Measures the cost of service in another zone: added latency, and work on cold data sets. Pure."""
 
 from __future__ import annotations
 
@@ -12,17 +11,17 @@
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.zone_distances import distance_ms, zone_of
 
-OUTAGE_LEAD_S = 1.0  # after a zone's outage, until figures about it begin
+OUTAGE_LEAD_S = 1.0  # time after the start of a zone's outage until its figures begin
 IsWithin = Callable[[float], bool]
 
 
 def client_zone(scenario: Scenario, request: RequestLog) -> str:
-    """Return the zone of a request's client; its instance's, if it belongs to none."""
+    """Return the zone of a request's client, or of its instance if the client belongs to none."""
     return request.client_zone or scenario.instance_zones[request.instance]
 
 
 def round_trip_ms(scenario: Scenario, request: RequestLog) -> float:
-    """Return the latency of a served request between its client's zone, its instance's and its engine's."""
+    """Return the network round trip of a served request from its client to its instance and engine, in ms."""
     distances, instance_zone = scenario.zone_distances_ms, scenario.instance_zones[request.instance]
     to_instance_ms = distance_ms(distances, client_zone(scenario, request), instance_zone)
     to_engine_ms = distance_ms(distances, instance_zone, zone_of(request.text))
@@ -30,12 +29,15 @@
 
 
 def measure_distance(history: RunHistory, verdict: Verdict) -> None:
-    """Measure figures over the scenario, and with `_before` and `_out` for the time before a zone's outage
-    and in it.
+    """Measure the cost of distance over the scenario and, with a suffix, before and during a zone's outage.
 
-    added_ms: latency of a served request by distance. away: the share that was served in another zone than
-    the client's. cold_sets: the share of executions that read a cold data set; extra_work: what these did
-    more, against all work without that.
+    The suffixes are `_before` and `_out`; the first two figures also exist for each client zone.
+
+    Figures:
+        added_ms: Mean network round trip of served requests, in ms.
+        away: Share of served requests that were served in another zone than the client's.
+        cold_sets: Share of executions that read a cold data set.
+        extra_work: Additional work of these executions, relative to all work without it.
     """
     scenario = history.scenario
     begun = [
@@ -56,7 +58,7 @@
 
 
 def _spans(history: RunHistory) -> dict[str, IsWithin]:
-    """Return the times to be measured, by the suffix of their figures."""
+    """Return the time spans to be measured, by the suffix of their figures."""
     spans: dict[str, IsWithin] = {"": lambda at: True}
     scenario, started_at = history.scenario, history.logs.load_started_at
     if scenario.outage_at_s:
--- a/cottonhold/emulator/fault_injection/report.py
+++ b/cottonhold/emulator/fault_injection/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page of a run: what happened, what the checker found, charts over time."""
+"""Renders a self-contained HTML page about a run: its faults, findings, figures and charts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def charts(scenario: Scenario, series: dict[str, list[float]]) -> str:
-    """Return sends by zone and utility served over time, with the faults as marks, as one SVG."""
+    """Return an SVG with sends by zone and utility served over time; vertical lines mark the faults."""
     times = [i * BIN_S for i in range(len(next(iter(series.values()), [])))]
     figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(9, 6), sharex=True)
     for colour, zone in zip(COLOURS, scenario.zones, strict=False):
@@ -52,7 +52,15 @@
 
 
 def page(folder: Path) -> str:
-    """Return the page of a run's folder. Raises OSError and ScriptError."""
+    """Return the HTML page of a run.
+
+    Args:
+        folder: Folder of the run.
+
+    Raises:
+        OSError: A file of the run cannot be read.
+        ScriptError: The scenario in the folder is invalid.
+    """
     scenario = decode_scenario((folder / SCENARIO_FILE).read_bytes())
     result: dict[str, Any] = json.loads((folder / RESULT_FILE).read_bytes())
     verdict = result["verdict"]
@@ -85,7 +93,7 @@
 
 
 def _zones(views: Mapping[str, Any]) -> str:
-    """Return the rows of each instance's zones."""
+    """Return table rows with the zones that each instance reports."""
     rows = ((name, row) for name, view in sorted(views.items()) for row in view.get("zones", []))
     return "".join(
         f"<tr><td>{html.escape(name)}</td><td>{html.escape(row['zone'])}</td>"
--- a/cottonhold/emulator/fault_injection/request_rules.py
+++ b/cottonhold/emulator/fault_injection/request_rules.py
@@ -1,5 +1,8 @@
-"""Rules about single requests and sends: one final answer in time, one attempt at a time, no send to an
-engine that drains. Pure."""
+"""Checks rules about single requests and sends. Pure.
+
+Each request receives one final answer in time, has one attempt open at a time, and is not sent to an engine
+that drains.
+"""
 
 from __future__ import annotations
 
@@ -16,20 +19,20 @@
     Verdict,
 )
 
-RESPONSE_SLACK_S = 0.5
+RESPONSE_SLACK_S = 0.5  # tolerance for responses and announcements that are late on a busy machine
 INSTANCE_START_S = 3.0  # until a new process has received the engine list
-LINK_DELAY_S = 0.1  # between a cancel and its being seen on the link, where the harness is busy
-DISTURBANCE_LEAD_S = 1.0  # an instance that failed so long before a request may not respond to it
-MIN_ORDER_GAP_S = 0.05  # loads that are closer to one another may arrive in either order
-# An engine answers so if it has done nothing: the load may be sent again.
+LINK_DELAY_S = 0.1  # between a cancel and its record on the link, when the harness is busy
+DISTURBANCE_LEAD_S = 1.0  # an instance that failed within this time before a request may not respond to it
+MIN_ORDER_GAP_S = 0.05  # loads sent closer together than this may arrive in either order
+# Engine statuses that mean that the load has not run and may be sent again.
 NOT_STARTED = ("overload", "nobody")
-# What cuts an instance from announcements, and what ends that.
+# Marks from which on an instance does not receive announcements, and marks that end this.
 UNREACHABLE_FROM = (MarkVerb.SOURCE_DISCONNECTED, MarkVerb.STOP, MarkVerb.KILL)
 REACHABLE_FROM = (MarkVerb.SOURCE_RECONNECTED, MarkVerb.CONTINUE, MarkVerb.START)
 
 
 def is_disturbed(logs: RunLogs, name: str, begin: float, end: float) -> bool:
-    """Return whether a process was killed or stopped within a time, so that it could not respond."""
+    """Return whether a process was killed or stopped between two times, so that it could not respond."""
     stopped_at = None
     for mark in sorted(logs.marks):
         if mark.name != name:
@@ -46,14 +49,14 @@
 
 
 def is_excused(logs: RunLogs, request: RequestLog) -> bool:
-    """Return whether the instance of a request was killed or stopped in its time."""
+    """Return whether the instance of a request was killed or stopped shortly before it or during it."""
     begin = request.started_at - DISTURBANCE_LEAD_S
     end = request.started_at + request.timeout_ms / 1000 + RESPONSE_SLACK_S
     return is_disturbed(logs, f"n{request.instance}", begin, end)
 
 
 def check_requests(history: RunHistory, verdict: Verdict) -> None:
-    """Each request has one final answer in time, and none is served that no engine has done."""
+    """Check that each request has one final answer in time, and ran at the engine named in its result."""
     for request_id, request in history.requests.items():
         if request.end_count > 1:
             verdict.findings.append(f"answers: {request_id} has {request.end_count} ends")
@@ -70,7 +73,7 @@
 
 
 def check_sends(history: RunHistory, verdict: Verdict) -> None:
-    """No load is sent again once it may have run, and one attempt of a request is open at a time."""
+    """Check that no load is resent once it may have run, and that a request has one open attempt at most."""
     _check_loads(history, verdict)
     _check_single_attempt(history, verdict)
 
@@ -86,7 +89,10 @@
 
 
 def _check_single_attempt(history: RunHistory, verdict: Verdict) -> None:
-    """The link sees a cancel later than the next send by LINK_DELAY_S at most, and by its own stalls."""
+    """Check that the attempts of a request do not overlap.
+
+    The record of a cancel on the link may follow the next send by LINK_DELAY_S, and by stalls of the harness.
+    """
     for request_id, sends in history.sends.items():
         for send, following in zip(sends, sends[1:], strict=False):
             overlap_s = send.ended_at - following.sent_at
@@ -98,7 +104,7 @@
 
 
 def check_order(history: RunHistory, verdict: Verdict) -> None:
-    """Loads on one key that an instance accepted one after another begin in that order."""
+    """Check that loads on one key begin in the order in which an instance accepted them."""
     by_key: dict[tuple[int, str], list[tuple[float, float, str]]] = defaultdict(list)
     for request_id, executions in history.executions.items():
         begun = [e for e in executions if e.key and e.began_at < math.inf]
@@ -116,7 +122,7 @@
 
 
 def check_engine_overload(history: RunHistory, verdict: Verdict) -> None:
-    """No cold engine is overloaded by all instances together."""
+    """Check that the instances together did not overload a cold engine."""
     for engine, lines in history.logs.engines.items():
         for at, event, *_ in lines:
             if event == "tipped":
@@ -125,7 +131,7 @@
 
 
 def check_drains(history: RunHistory, verdict: Verdict) -> None:
-    """No instance that can know of an engine's drain sends to it, from RESPONSE_SLACK_S after it on."""
+    """Check that no instance sends to a draining engine more than RESPONSE_SLACK_S after it was notified."""
     drains = _drains(history.logs)
     for request_id, sends in history.sends.items():
         for send in sends:
@@ -140,7 +146,7 @@
 
 
 def _drains(logs: RunLogs) -> dict[str, list[tuple[float, float]]]:
-    """Return from when to when each engine was drained."""
+    """Return the begin and end of each drain, by engine."""
     drains: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for mark in sorted(logs.marks):
         of_engine = drains[mark.name]
@@ -152,8 +158,16 @@
 
 
 def _notified_at(logs: RunLogs, instance: str, at: float) -> float:
-    """Return when an instance can have received what was announced at a time: later, if it was stopped, down
-    or cut from the source of the list then."""
+    """Return the earliest time at which an instance can have received an announcement.
+
+    That is later than the announcement if the instance was stopped, down or disconnected from the source of
+    the engine list then; infinite if it never became reachable again.
+
+    Args:
+        logs: Logs of the run.
+        instance: Name of the instance.
+        at: Time of the announcement.
+    """
     unreachable_since = math.inf
     for mark in sorted(logs.marks):
         if mark.name != instance:
--- a/cottonhold/emulator/fault_injection/run_folder.py
+++ b/cottonhold/emulator/fault_injection/run_folder.py
@@ -1,4 +1,4 @@
-"""The folder of a scenario run: its logs, its result, and a check of it that is made again later."""
+"""Reads and writes the folder of a scenario run, and checks a stored run again."""
 
 from __future__ import annotations
 
@@ -22,29 +22,35 @@
 
 
 def read_log(path: Path) -> list[LogLine]:
-    """Return the lines of a log; none if there is no such file."""
+    """Return the complete lines of a log; an empty list if the file does not exist."""
     if not path.exists():
         return []
     lines = []
     for line in path.read_bytes().splitlines():
-        with contextlib.suppress(ValueError):  # one that was being written as its process was killed
+        with contextlib.suppress(ValueError):  # a line that was cut short when its process was killed
             lines.append(json.loads(line))
     return lines
 
 
 def read_engine_logs(folder: Path, scenario: Scenario) -> dict[str, list[LogLine]]:
-    """Return the log of each engine by name."""
+    """Return the log of each engine, by the engine's name."""
     return {name: read_log(folder / f"{name}.jsonl") for name in scenario.engine_names()}
 
 
 def write_result(folder: Path, result: Mapping[str, Any], link_lines: Iterable[LogLine]) -> None:
-    """Write the result of a run, and what was seen on its links."""
+    """Write the result of a run, and the log of its links."""
     (folder / LINK_LOG).write_bytes(b"\n".join(msgspec.json.encode(line) for line in link_lines))
     (folder / RESULT_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(result)))
 
 
 def recheck_run(folder: Path) -> Verdict:
-    """Return the verdict on a run that was kept. Raises OSError, ScriptError and KeyError."""
+    """Check a stored run again, and return the verdict.
+
+    Raises:
+        OSError: A file of the run cannot be read.
+        ScriptError: The scenario in the folder is invalid.
+        KeyError: The result lacks a field.
+    """
     scenario = decode_scenario((folder / SCENARIO_FILE).read_bytes())
     result = json.loads((folder / RESULT_FILE).read_bytes())
     logs = RunLogs(
@@ -61,8 +67,12 @@
 
 
 def ownerless_times(folder: Path, views: Iterable[Mapping[str, Any]]) -> dict[float, int]:
-    """Return how many keys that moved had no owner for up to so many ms: as instances that shut down logged
-    it, and as those that still run report it."""
+    """Return the histogram of the time for which migrated keys had no owner, in ms, summed over instances.
+
+    Args:
+        folder: Folder of the run; instances that shut down have logged their histogram there.
+        views: Views of the instances that still run, which contain theirs.
+    """
     histograms = [str(view.get("pins", {}).get("ownerless", "")) for view in views]
     for log in sorted(folder.glob("n*.log")):
         histograms += [row.decode() for row in OWNERLESS_AT_SHUTDOWN.findall(log.read_bytes())]
--- a/cottonhold/emulator/fault_injection/scenarios.py
+++ b/cottonhold/emulator/fault_injection/scenarios.py
@@ -1,6 +1,8 @@
-"""The scenarios by name: those of zones and of overload here, the others in modules of their own. Most have
-the load that the operators measured: six instances, nine engines in three zones, 270 requests a second, two
-classes of utility 1 and 6."""
+"""All scenarios by name, and the definitions of those about zones and overload.
+
+Most have the load that the operators measured: six instances, nine engines in three zones, 270 requests a
+second, and two classes with utilities 1 and 6.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,14 @@
 
 
 def zone_scenario(name: str, description: str, *faults: Fault, **fields: Any) -> Scenario:
-    """Return a scenario in which zone a fails at 5 s and is well again at 13 s."""
+    """Return a scenario in which zone a fails at 5 s and recovers at 13 s.
+
+    Args:
+        name: Name of the scenario.
+        description: Description in a few words.
+        faults: Faults to inject.
+        fields: Further fields of the scenario, which override the defaults.
+    """
     defaults: dict[str, Any] = {
         "duration_s": 24.0,
         "outage_at_s": OUTAGE_AT_S,
@@ -28,7 +37,7 @@
 
 
 def kill_and_restart(target: str = "a") -> tuple[Fault, Fault]:
-    """Kill engines, and start them again."""
+    """Return faults that kill engines at the outage and start them again at the recovery."""
     return Fault(OUTAGE_AT_S, "kill", target), Fault(RECOVERED_AT_S, "start", target)
 
 
@@ -44,33 +53,33 @@
     zone_scenario("zone-killed", "a zone is killed and returns cold", *kill_and_restart()),
     zone_scenario(
         "zone-silent",
-        "a zone stalls and goes on",
+        "a zone stalls and resumes",
         Fault(OUTAGE_AT_S, "stop", "a"),
         Fault(RECOVERED_AT_S, "go", "a"),
     ),
     zone_scenario("zone-slow", "a zone is ten times slower", *SLOW),
     zone_scenario(
         "zone-failing",
-        "a zone fails three in ten",
+        "a zone fails three in ten requests",
         Fault(OUTAGE_AT_S, "traits", "a", options={"failing": 0.3}),
         Fault(RECOVERED_AT_S, "traits", "a", options={"failing": 0.0}),
     ),
     zone_scenario(
         "failing-light",
-        "a zone fails three in ten where the others can carry all",
+        "a zone fails three in ten requests, and the others can serve all",
         Fault(OUTAGE_AT_S, "traits", "a", options={"failing": 0.3}),
         Fault(RECOVERED_AT_S, "traits", "a", options={"failing": 0.0}),
         requests_per_s=200.0,
     ),
     zone_scenario(
         "zone-flapping",
-        "a zone stalls and goes on each three seconds",
+        "a zone stalls and resumes every three seconds",
         *(Fault(OUTAGE_AT_S + 3 * i, "go" if i % 2 else "stop", "a") for i in range(4)),
         duration_s=30.0,
     ),
     zone_scenario(
         "returns-and-falls",
-        "a killed zone falls again a second after its return",
+        "a killed zone fails again a second after its return",
         *kill_and_restart(),
         Fault(RECOVERED_AT_S + 1.5, "kill", "a"),
         Fault(RECOVERED_AT_S + 4.0, "start", "a"),
@@ -78,51 +87,51 @@
     ),
     zone_scenario(
         "one-link",
-        "one instance's way to a zone is cut",
+        "one instance's links to a zone are blocked",
         Fault(OUTAGE_AT_S, "link", "n5", "a", DISCONNECT),
         Fault(RECOVERED_AT_S, "link", "n5", "a", RECONNECT),
     ),
     zone_scenario(
         "half-cut",
-        "a zone is cut from one half of the fleet",
+        "the links from one half of the fleet to a zone are blocked",
         Fault(OUTAGE_AT_S, "link", "n0-2", "a", DISCONNECT),
         Fault(RECOVERED_AT_S, "link", "n0-2", "a", RECONNECT),
     ),
     zone_scenario(
         "lossy-words",
-        "30% of datagrams are lost, and a zone slows",
+        "30% of datagrams are lost, and a zone becomes slow",
         Fault(0.0, "peers", "*", "*", {"loss": 0.3}),
         *SLOW,
     ),
     zone_scenario(
         "late-words",
-        "datagrams take a second, and a zone slows",
+        "datagrams are delayed by a second, and a zone becomes slow",
         Fault(3.0, "peers", "*", "*", {"delay": 1000}),
         *SLOW,
     ),
     zone_scenario(
         "shuffled-words",
-        "datagrams take up to a second and overtake one another, and a zone slows",
+        "datagrams are delayed by up to a second and reordered, and a zone becomes slow",
         Fault(3.0, "peers", "*", "*", {"jitter": 1000}),
         *SLOW,
     ),
     zone_scenario(
         "two-halves",
-        "datagrams are cut between two halves, and a zone is killed",
+        "datagrams between two halves are blocked, and a zone is killed",
         Fault(OUTAGE_AT_S - 1.0, "peers", "n0-2", "n3-5", DISCONNECT),
         *kill_and_restart(),
         Fault(RECOVERED_AT_S + 3.0, "peers", "n0-2", "n3-5", RECONNECT),
     ),
     zone_scenario(
         "three-of-eight",
-        "three of eight instances are killed while a zone is left",
+        "three of eight instances are killed while a zone is evacuated",
         *SLOW,
         *(Fault(OUTAGE_AT_S + 0.4, "kill", f"n{i}") for i in (0, 3, 5)),
         instances=8,
     ),
     zone_scenario(
         "one-stands-still",
-        "one instance is stopped for 5 s across leaving, and again across the return",
+        "instances are stopped for 5 s during a zone's evacuation and during its return",
         *SLOW,
         Fault(OUTAGE_AT_S + 0.2, "stop", "n4"),
         Fault(OUTAGE_AT_S + 5.2, "go", "n4"),
@@ -131,23 +140,23 @@
     ),
     zone_scenario(
         "forged",
-        "one instance's words are forged",
+        "one instance's reports are forged",
         Fault(OUTAGE_AT_S, "forge", "n2", options={"zone": "a"}),
         duration_s=14.0,
     ),
     zone_scenario(
         "replayed",
-        "words of a slow zone are sent again when it is long well",
+        "reports on a slow zone are replayed after it has recovered",
         *SLOW,
         *(Fault(20.0 + i, "replay") for i in range(3)),
         duration_s=26.0,
     ),
     zone_scenario(
-        "too-small", "the zones that remain can't carry all", *kill_and_restart(), requests_per_s=400.0
+        "too-small", "the remaining zones can't serve all requests", *kill_and_restart(), requests_per_s=400.0
     ),
     zone_scenario(
         "storm",
-        "two of three zones are killed at 380 a second, and clients come again",
+        "two of three zones are killed at 380 requests a second, and clients retry",
         *kill_and_restart("a"),
         *kill_and_restart("b"),
         requests_per_s=380.0,
@@ -156,7 +165,7 @@
     ),
     zone_scenario(
         "drains",
-        "engines are drained while a zone is left, and one instance's source is cut",
+        "engines are drained while a zone is evacuated, and one instance's source is blocked",
         *SLOW,
         Fault(OUTAGE_AT_S - 1.0, "drain", "b0"),
         Fault(OUTAGE_AT_S + 1.0, "drain", "c1"),
@@ -171,7 +180,7 @@
     ),
     zone_scenario(
         "loads",
-        "loads on keys while answers are lost, connections reset and engines killed",
+        "loads on keys while responses are lost, connections reset and engines killed",
         Fault(4.0, "link", "n0-2", "a", {"back": True}),
         Fault(7.0, "link", "n0-2", "a", RECONNECT),
         Fault(8.0, "kill", "b1"),
@@ -191,20 +200,29 @@
     ),
     zone_scenario(
         "by-hand",
-        "a zone is left by hand, and the instance that took the order dies",
+        "a zone is evacuated by an operator, and the instance that received the order is killed",
         Fault(OUTAGE_AT_S, "order", "n1", options={"zone": "a", "mode": "leave"}),
         Fault(OUTAGE_AT_S + 2.0, "kill", "n1"),
         Fault(RECOVERED_AT_S, "order", "n2", options={"zone": "a", "mode": "free"}),
     ),
 ]
-# Overload: work of 60 ms, so that nine engines do 150 a second and a small machine can offer five times that.
+# For overload: with 60 ms of work, nine engines serve 150 requests a second, and a small machine can generate
+# five times that rate.
 HEAVY = (RequestClass("cheap", 0.6, 2000.0, 60.0), RequestClass("dear", 0.4, 2000.0, 60.0))
 
 
 def overload_scenario(
     name: str, description: str, load_factor: float, *faults: Fault, **fields: Any
 ) -> Scenario:
-    """Return a scenario with so many times the load that the engines can do, and clients that retry twice."""
+    """Return a scenario in which clients retry twice, with a multiple of the load that the engines can serve.
+
+    Args:
+        name: Name of the scenario.
+        description: Description in a few words.
+        load_factor: Request rate as a multiple of what all engines can serve.
+        faults: Faults to inject.
+        fields: Further fields of the scenario, which override the defaults.
+    """
     defaults: dict[str, Any] = {
         "duration_s": 20.0,
         "request_classes": HEAVY,
@@ -222,50 +240,50 @@
 
 
 SCENARIOS += [
-    overload_scenario("overload-1.5", "half as much again as the engines can do", 1.5),
-    overload_scenario("overload-3", "three times what the engines can do", 3.0),
-    overload_scenario("overload-5", "five times what the engines can do", 5.0),
+    overload_scenario("overload-1.5", "1.5 times the load that the engines can serve", 1.5),
+    overload_scenario("overload-3", "three times the load that the engines can serve", 3.0),
+    overload_scenario("overload-5", "five times the load that the engines can serve", 5.0),
     overload_scenario(
         "overload-skew",
-        "twice, and one instance has 20 of 25 parts",
+        "twice the load, and one instance receives 20 of 25 parts",
         2.0,
         instance_weights=(1, 1, 1, 1, 1, 20),
     ),
     overload_scenario(
         "overload-deaf",
-        "twice, and clients pass over the advice",
+        "twice the load, and clients ignore the advised retry delay",
         2.0,
         client_behaviour=ClientBehaviour(3, retry_after_share=0.0),
     ),
     overload_scenario(
         "overload-lossy",
-        "twice, and 30% of datagrams are lost",
+        "twice the load, and 30% of datagrams are lost",
         2.0,
         Fault(0.0, "peers", "*", "*", {"loss": 0.3}),
     ),
     overload_scenario(
         "overload-halves",
-        "twice, and datagrams are cut between two halves",
+        "twice the load, and datagrams between two halves are blocked",
         2.0,
         Fault(5.0, "peers", "n0-2", "n3-5", DISCONNECT),
     ),
     overload_scenario(
         "overload-killed",
-        "twice, and three of eight instances are killed",
+        "twice the load, and three of eight instances are killed",
         2.0,
         *(Fault(8.0, "kill", f"n{i}") for i in (0, 3, 5)),
         instances=8,
     ),
     overload_scenario(
         "overload-stopped",
-        "twice, and one is stopped for 5 s",
+        "twice the load, and one instance is stopped for 5 s",
         2.0,
         Fault(6.0, "stop", "n4"),
         Fault(11.0, "go", "n4"),
     ),
     overload_scenario(
         "overload-back",
-        "two of three zones are killed at 0.84 of what all can do, and come back",
+        "two of three zones are killed at 0.84 of the capacity, and return",
         0.84,
         *kill_and_restart("a"),
         *kill_and_restart("b"),
@@ -275,15 +293,15 @@
     ),
 ]
 SCENARIOS += [*RECOVERY_SCENARIOS, *FAILOVER_COST_SCENARIOS, *REPLACEMENT_SCENARIOS]
-SHORT_SCENARIOS = ("recover-short", "outlook-short", "swap-short")  # for every run of the tests
+SHORT_SCENARIOS = ("recover-short", "outlook-short", "swap-short")  # played in every run of the tests
 BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 
 
 def without_admission(scenario: Scenario) -> Scenario:
-    """Return the scenario with each instance shedding load by its own plan."""
+    """Return the scenario without shared admission control, so that each instance sheds load on its own."""
     return msgspec.structs.replace(scenario, has_admission=False)
 
 
 def without_fleet(scenario: Scenario) -> Scenario:
-    """Return the scenario with the section `fleet` off, for comparison."""
+    """Return the scenario without the section `fleet` in the configuration, for comparison."""
     return msgspec.structs.replace(scenario, has_fleet=False)
--- a/cottonhold/emulator/fault_injection/send_figures.py
+++ b/cottonhold/emulator/fault_injection/send_figures.py
@@ -1,4 +1,4 @@
-"""How sends were divided between zones and instances, and how long migrated keys had no owner. Pure."""
+"""Measures the distribution of sends to zones and instances, and the time that keys had no owner. Pure."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.zone_distances import zone_of
 
-MIN_REQUESTS = 100  # of a class at an instance, for it to be compared with others
-FULL_SHARE = 0.8  # of its usual share: a zone that has returned in full
-RETURN_WINDOW_S = 1.0  # the share of a zone that returns is measured over this time
-MIN_OUTAGE_S = 3.5  # for a share from the third second of the outage on
+MIN_REQUESTS = 100  # of a class at an instance, for the instance to be compared with others
+FULL_SHARE = 0.8  # of its usual share of sends, from which on a zone counts as fully recovered
+RETURN_WINDOW_S = 1.0  # time over which the share of a recovered zone is measured
+MIN_OUTAGE_S = 3.5  # shortest outage for which the share after its third second is measured
 
 
 def measure_sends(history: RunHistory, verdict: Verdict) -> None:
-    """Measure sends by zone over time and, for a zone that was out, how they ended and came back."""
+    """Measure sends by zone over time and, if a zone failed, how they decreased and increased again."""
     scenario, logs = history.scenario, history.logs
     sends = {zone: [0.0] * bin_count(scenario) for zone in scenario.zones}
     all_sends = [send for of_request in history.sends.values() for send in of_request]
@@ -36,7 +36,7 @@
 
 
 def _measure_outage(scenario: Scenario, sends: Mapping[str, list[float]], figures: dict[str, float]) -> None:
-    """Measure the failing zone's share of all sends before, in and after its outage."""
+    """Measure the failing zone's share of all sends before, during and after its outage."""
     failing = sends[scenario.failing_zone]
     total = [sum(row[step] for row in sends.values()) for step in range(len(failing))]
     outage_at, recovered_at = scenario.outage_at_s, scenario.recovered_at_s
@@ -82,8 +82,12 @@
 
 
 def measure_migrations(ownerless_counts: Mapping[float, int], verdict: Verdict) -> None:
-    """Measure how many keys migrated, and for how many ms at most 99 of 100 of them had no owner, as a step
-    of the histogram."""
+    """Measure how many keys migrated, and the 99th percentile of the time for which they had no owner.
+
+    Args:
+        ownerless_counts: Number of keys by the upper limit of the histogram bucket, in ms.
+        verdict: Receives the figures.
+    """
     total, passed = sum(ownerless_counts.values()), 0
     verdict.figures["pins_moved"] = float(total)
     for limit_ms, count in sorted(ownerless_counts.items()):
--- a/cottonhold/emulator/fault_injection/utility_figures.py
+++ b/cottonhold/emulator/fault_injection/utility_figures.py
@@ -1,4 +1,4 @@
-"""The utility that was served, against what was offered and what the engines could have done. Pure."""
+"""Compares the utility served with the utility requested and the most that engines could serve. Pure."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from cottonhold.emulator.fault_injection.request_rules import is_excused
 from cottonhold.emulator.fault_injection.script import Scenario
 
-OUTAGE_LEAD_S = 1.0  # after a zone's outage, until figures about it begin
-RECOVERED_AFTER_S = 5.0  # after a zone is well again, until figures of its normal service begin
+OUTAGE_LEAD_S = 1.0  # time after the start of a zone's outage until its figures begin
+RECOVERED_AFTER_S = 5.0  # time after a zone's recovery until the figures of normal service begin
 PERCENTILES = (50, 99)
 
 
 def ratio(numerator: list[float], denominator: list[float], begin: int = 0, end: int | None = None) -> float:
-    """Return the sum of some steps of a series as a part of the sum of another's; 1 if that is nothing."""
+    """Return the ratio of the sums of two series over the same steps; 1 if the denominator's sum is 0."""
     total = sum(denominator[begin:end])
     return sum(numerator[begin:end]) / total if total else 1.0
 
@@ -41,12 +41,12 @@
 
 
 def step_of(request: RequestLog, logs: RunLogs, steps: int) -> int:
-    """Return the step of a series in which a request was made; the last one for all after it."""
+    """Return the step of a series in which a request began, at most the last one."""
     return min(int((request.started_at - logs.load_started_at) / BIN_S), steps - 1)
 
 
 def capacity(scenario: Scenario, logs: RunLogs) -> list[float]:
-    """Return the work in ms that the engines could do, by step: those that run, at their speed."""
+    """Return the work that the running engines could do at their current speed, by step, in ms."""
     steps = [0.0] * bin_count(scenario)
     for engine, lines in logs.engines.items():
         for step, work_ms in enumerate(_engine_capacity(engine, lines, scenario, logs)):
@@ -76,7 +76,7 @@
 
 
 def _engine_events(engine: str, lines: list[LogLine], logs: RunLogs) -> list[tuple[float, str, LogLine]]:
-    """Return what changed an engine's speed, by time."""
+    """Return the events that changed an engine's speed, ordered by time."""
     events = [(at, event, details) for at, event, _, *details in lines if event in ("start", "set", "tipped")]
     events += [
         (mark.at, mark.verb, []) for mark in logs.marks if mark.name == engine and mark.verb != MarkVerb.START
@@ -85,8 +85,10 @@
 
 
 def measure_utility(history: RunHistory, verdict: Verdict) -> None:
-    """Measure the utility that was served against the most that could be: step by step, the classes that earn
-    most per ms of work first."""
+    """Measure the utility served against the most that the engines could serve.
+
+    That most is computed step by step, serving the classes with the highest utility per ms of work first.
+    """
     scenario = history.scenario
     offered, served = _reachable_requests(history)
     engine_capacity = capacity(scenario, history.logs)
@@ -112,7 +114,8 @@
 def _reachable_requests(history: RunHistory) -> tuple[list[Counter[str]], list[Counter[str]]]:
     """Return how many requests of each class were offered and served, by the step of their first attempt.
 
-    Attempts that only met killed or stopped instances are left out: no decision could have served them.
+    Attempts that failed because their instance was killed or stopped are left out, since no decision of an
+    instance could have served them.
     """
     steps = bin_count(history.scenario)
     offered = [Counter[str]() for _ in range(steps)]
@@ -163,8 +166,10 @@
 
 
 def measure_offered(history: RunHistory, verdict: Verdict) -> None:
-    """Measure the utility of all that clients requested, also where no instance was up, and what of it was
-    served, by the step of each client's first attempt."""
+    """Measure the utility of all requests, including those sent while no instance was up, and of served ones.
+
+    Both are counted at the step of each client's first attempt.
+    """
     scenario, steps = history.scenario, bin_count(history.scenario)
     offered, served = [0.0] * steps, [0.0] * steps
     served_clients = {r.client for r in history.requests.values() if r.end is RequestEnd.SERVED}
--- a/cottonhold/emulator/fault_injection/views.py
+++ b/cottonhold/emulator/fault_injection/views.py
@@ -1,4 +1,4 @@
-"""What the instances of a run report at their local sockets."""
+"""Reads the views that the instances of a run report at their local sockets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def read_view(folder: Path, name: str) -> dict[str, Any]:
-    """Return an instance's view of the fleet; empty if it does not answer."""
+    """Return an instance's view of the fleet; empty if it does not respond."""
     try:
         return call_instance(folder / f"{name}.sock", {"call": "view"})
     except (OSError, ValueError):
@@ -18,12 +18,12 @@
 
 
 def sees_all_alive(view: Mapping[str, Any], name: str, names: Collection[str]) -> bool:
-    """Return whether the instance of this name sees all these instances alive, itself left aside."""
+    """Return whether a view of the instance `name` lists all other instances in `names` as alive."""
     alive = {member["name"] for member in view.get("members", []) if member["status"] == "alive"}
     return alive | {name} == set(names)
 
 
 def first_projected_costs(views: Iterable[Mapping[str, Any]]) -> dict[str, Any]:
-    """Return what the first instance that has a plan projects of each zone's loss."""
+    """Return the failover cost of each zone, from the first view that contains projections."""
     projections = (view.get("outlook") for view in views)
     return next((dict(projection) for projection in projections if projection), {})
--- a/cottonhold/emulator/fault_injection/waiting.py
+++ b/cottonhold/emulator/fault_injection/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a state of the fleet, and noting when the harness itself was not scheduled."""
+"""Waits for conditions, and records when the harness itself was not scheduled."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 
 POLL_INTERVAL_S = 0.05
-# How often the harness checks, and how late a check may be before that is a stall. Two checks that leave no
-# trace stay together below the checker's LINK_DELAY_S.
+# Interval of the stall checks, and how late a check must be to be recorded. Two intervals with delays just
+# below that limit together stay below LINK_DELAY_S of request_rules.py.
 STALL_CHECK_INTERVAL_S, MIN_STALL_S = 0.02, 0.02
 
 
 async def wait_until(condition: Callable[[], bool], timeout_s: float) -> bool:
-    """Wait until a condition holds; return whether it did within the time. The condition may block."""
+    """Wait until a condition holds, and return whether it did within the timeout; the condition may block."""
     deadline = time.monotonic() + timeout_s
     while not await asyncio.to_thread(condition):
         if time.monotonic() > deadline:
@@ -23,19 +23,22 @@
 
 
 class StallMonitor:
-    """Notes when this event loop stood still: on a busy machine links see late, and in no order, what was
-    done. stalls: from when to when."""
+    """Records when this event loop was not scheduled.
+
+    On a busy machine, links then record events late and out of order. `stalls` holds the begin and end of
+    each stall.
+    """
 
     def __init__(self) -> None:
         self.stalls: list[tuple[float, float]] = []
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin; call it in the event loop that is to be watched."""
+        """Start the monitor; must be called in the event loop that it monitors."""
         self.task = asyncio.create_task(self._watch())
 
     def stop(self) -> None:
-        """End, if it has begun."""
+        """Stop the monitor if it runs."""
         if self.task is not None:
             self.task.cancel()
 
--- a/cottonhold/emulator/fault_injection/worker_pool.py
+++ b/cottonhold/emulator/fault_injection/worker_pool.py
@@ -1,10 +1,11 @@
-"""A process that has the programs of a run loaded and forks one on request: started within milliseconds, also
-on a machine so busy that loading takes many seconds.
+"""A process that has loaded the programs of a run and forks one on request.
+
+A forked program starts within milliseconds, even on a machine so busy that loading it takes many seconds.
 
     pool = WorkerPool()
     process = pool.start("cottonhold.emulator.fault_injection.engine", [settings], log, pipes=True)
 
-It ends with the harness, and each program with it: the kernel sends the signal.
+The kernel kills the pool when the harness ends, and each forked program when the pool ends.
 """
 
 from __future__ import annotations
@@ -38,26 +39,30 @@
 
 
 class Process(Protocol):
-    """What the harness needs of a process; subprocess.Popen has it."""
+    """The methods of a process that the harness uses; subprocess.Popen has them."""
 
     stdin: IO[bytes] | None
     stdout: IO[bytes] | None
 
     def poll(self) -> int | None:
-        """Return None while it runs."""
+        """Return None while the process runs, else its exit code."""
 
     def wait(self, timeout: float | None = None) -> int:
-        """Wait until it has ended. Raises subprocess.TimeoutExpired."""
+        """Wait until the process has ended, and return its exit code.
+
+        Raises:
+            subprocess.TimeoutExpired: The process still runs after `timeout` seconds.
+        """
 
     def send_signal(self, sig: int) -> None:
-        """Send a signal; nothing to one that has ended."""
+        """Send a signal; do nothing if the process has ended."""
 
     def kill(self) -> None:
         """Send SIGKILL."""
 
 
 class ForkedProcess:
-    """A program that the pool has forked, by a descriptor that stands for no other process."""
+    """A program that the pool has forked, held by a pidfd, which never refers to another process."""
 
     def __init__(self, pid: int, stdin: IO[bytes] | None, stdout: IO[bytes] | None) -> None:
         self.pid, self.stdin, self.stdout = pid, stdin, stdout
@@ -75,27 +80,31 @@
         return True
 
     def poll(self) -> int | None:
-        """See Process; the exit code is not known."""
+        """Return None while the process runs, else 0, since the exit code is unknown."""
         return 0 if self._has_ended(0) else None
 
     def wait(self, timeout: float | None = None) -> int:
-        """See Process."""
+        """Wait until the process has ended; return 0, since the exit code is unknown.
+
+        Raises:
+            subprocess.TimeoutExpired: The process still runs after `timeout` seconds.
+        """
         if not self._has_ended(None if timeout is None else timeout * 1000):
             raise subprocess.TimeoutExpired(str(self.pid), timeout or 0.0)
         return 0
 
     def send_signal(self, sig: int) -> None:
-        """See Process."""
+        """Send a signal; do nothing if the process has ended."""
         if not self._has_ended(0):
             signal.pidfd_send_signal(self.descriptor, sig)
 
     def kill(self) -> None:
-        """See Process."""
+        """Send SIGKILL; do nothing if the process has ended."""
         self.send_signal(signal.SIGKILL)
 
 
 class WorkerPool:
-    """The harness's end of the pool."""
+    """Starts the pool's process, and sends it requests from the harness."""
 
     def __init__(self) -> None:
         self.link, pool_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -104,7 +113,17 @@
             self.process = subprocess.Popen(program, stdin=pool_end.fileno())
 
     def start(self, module: str, args: Sequence[str], log: IO[bytes], pipes: bool) -> ForkedProcess:
-        """Start a program by its module. pipes: its standard input and output are pipes. Raises OSError."""
+        """Start a program, and return its process.
+
+        Args:
+            module: Module that is run as `__main__`.
+            args: Command-line arguments.
+            log: File for standard error.
+            pipes: Whether standard input and output are pipes instead of /dev/null.
+
+        Raises:
+            OSError: The pool has ended.
+        """
         stdin: IO[bytes] | None = None
         stdout: IO[bytes] | None = None
         with open(os.devnull, "r+b") as null:
@@ -123,27 +142,28 @@
         return ForkedProcess(int(pid), stdin, stdout)
 
     def close(self) -> None:
-        """End the pool, and what it started. May be called again."""
+        """End the pool and the programs that it started; repeated calls have no effect."""
         self.link.close()
         self.process.kill()
         self.process.wait()
 
 
 def _run_program(arguments: list[str], descriptors: list[int], parent: int) -> None:
-    """In the new process, run the program until it ends."""
+    """Run the program in the forked process until it ends."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL), 0, 0, 0)
     if os.getppid() != parent:
         os._exit(1)
     for target, descriptor in enumerate(descriptors):
         os.dup2(descriptor, target)
-    # An end of another program's pipe that stays open here would hide that the harness has closed its own.
+    # If an inherited end of another program's pipe stayed open here, that program would not receive the end
+    # of file when the harness closes its own end.
     os.closerange(3, MAX_INHERITED_DESCRIPTOR)
     sys.argv = arguments
     runpy.run_module(arguments[0], run_name="__main__", alter_sys=True)
 
 
 def main() -> None:
-    """Fork a program for each request, until the harness has ended."""
+    """Fork a program for each request until the harness has ended."""
     for name in PRELOADED_MODULES:
         import_module(name)
     link, pool_pid = socket.socket(fileno=os.dup(0)), os.getpid()
@@ -163,7 +183,10 @@
 
 
 def _reap_one() -> bool:
-    """Reap a program that has ended; return whether there was one. The harness has its descriptor by then."""
+    """Reap a program that has ended, and return whether there was one.
+
+    The harness holds its pidfd by then, so that a reused process id is harmless.
+    """
     try:
         return os.waitpid(-1, os.WNOHANG)[0] > 0
     except ChildProcessError:
--- a/cottonhold/emulator/fault_injection/zone_distances.py
+++ b/cottonhold/emulator/fault_injection/zone_distances.py
@@ -1,4 +1,4 @@
-"""How far zones are from one another, as a scenario says it. Pure."""
+"""Network distances between the zones of a scenario. Pure."""
 
 from __future__ import annotations
 
@@ -6,12 +6,18 @@
 
 
 def distance_ms(distances: Mapping[str, float], zone: str, other: str) -> float:
-    """Return the delay one way between two zones, by pairs as "a-b"; 0 where none is given."""
+    """Return the one-way delay between two zones, in ms; 0 if none is given.
+
+    Args:
+        distances: Delays by pairs of zones such as "a-b", in ms.
+        zone: One zone.
+        other: The other zone.
+    """
     if zone == other:
         return 0.0
     return distances.get(f"{zone}-{other}", distances.get(f"{other}-{zone}", 0.0))
 
 
 def zone_of(engine: str) -> str:
-    """Return the zone in which an engine stands, by its name."""
+    """Return the zone of an engine, which is the first part of its name."""
     return engine.rstrip("0123456789")
