--- a/cottonhold/emulator/fault_injection/executions.py
+++ b/cottonhold/emulator/fault_injection/executions.py
@@ -85,7 +85,7 @@
     duplicates = [work for work in works if len(work.executions) > 1]
     for work in duplicates:
         where = ", ".join(f"{e.engine} ({e.end or 'open'})" for e in work.executions)
-        verdict.findings.append(f"twice: load {work.number} on {work.key} was run by {where}")
+        verdict.findings.append(f"twice: load {work.number} on {work.key} ran at {where}")
     verdict.figures["loads"] = float(len(works))
     verdict.figures["loads_run_twice"] = float(len(duplicates))
 
@@ -140,7 +140,7 @@
             if last is not None and work.notified_at < last.requested_at:
                 findings.append(
                     f"order: load {work.number} on {key} began after load {last.number}, "
-                    "which was asked for when it had ended"
+                    "which was requested after it had ended"
                 )
             if last is None or work.requested_at > last.requested_at:
                 last = work
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -111,10 +111,12 @@
 
     def _on_peers(self, fault: Fault) -> None:
         options = {name: value for name, value in fault.options.items() if name not in ("forth", "heal")}
-        one_way = bool(fault.options.get("forth"))
+        is_unidirectional = bool(fault.options.get("forth"))
         for sender in self._instance_numbers(fault.target):
             for receiver in self._instance_numbers(fault.other):
-                pairs = [(sender, receiver)] if one_way else [(sender, receiver), (receiver, sender)]
+                pairs = (
+                    [(sender, receiver)] if is_unidirectional else [(sender, receiver), (receiver, sender)]
+                )
                 for pair in pairs:
                     if sender != receiver:
                         self.run.network.switch.paths[pair] = self.run.network.peer_path(*pair, options)
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -166,7 +166,7 @@
         for name in (*self.scenario.engine_names(), *self.scenario.instance_names()):
             self.processes.prepare(name)
         warm_at = time.monotonic() + float(self.scenario.engine_traits.get("warm", 3000.0)) / 1000
-        await self.until(self.all_members_alive, "all instances know one another")
+        await self.until(self.all_members_alive, "all instances see one another alive")
         await asyncio.sleep(max(warm_at - time.monotonic(), 0.0))
         await self._start_clients()
 
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -62,7 +62,7 @@
                 answer: dict[str, Any] = await asyncio.to_thread(call_instance, path, self.call)
                 result = str(answer.get("error", "asked"))
                 self.scenario_run.mark(MarkVerb.REPLACEMENT_REQUESTED, result)
-                self.scenario_run.timeline.append(f"swap asked at {self.instance}: {result}")
+                self.scenario_run.timeline.append(f"replacement requested at {self.instance}: {result}")
                 for machine in self.call["machines"]:
                     self.pending_machines.update(self._names_of(machine))
                 return "error" not in answer
@@ -85,11 +85,11 @@
     async def _replace_engine(self, name: str) -> None:
         """Kill an engine, wait until the instances report its absence, and start a new one, which is cold."""
         await self.scenario_run.apply(Fault(0.0, "power", name))
-        self.scenario_run.timeline.append(f"{name} is taken out")
+        self.scenario_run.timeline.append(f"{name} was killed")
         while not (await self._replacement_rows()).get(name, {}).get("away", True):
             await asyncio.sleep(POLL_INTERVAL_S)
         await self.scenario_run.apply(Fault(0.0, "start", name))
-        self.scenario_run.timeline.append(f"{name} is in place")
+        self.scenario_run.timeline.append(f"{name} was started again")
 
     async def _replacement_rows(self) -> dict[str, dict[str, Any]]:
         """Return a report on each machine; one that it is ready or absent takes precedence."""
--- a/cottonhold/emulator/fault_injection/power_loss_run.py
+++ b/cottonhold/emulator/fault_injection/power_loss_run.py
@@ -264,7 +264,7 @@
         while not any(e.began_at > since for load in self.tally.loads.values() for e in load.executions[-1:]):
             if time.monotonic() > deadline:
                 views = {n: self.view(n).get("recovery") for n in self.running_instances()}
-                self._add_finding(f"no load was run for {SERVING_TIMEOUT_S:g} s", json.dumps(views))
+                self._add_finding(f"no load ran for {SERVING_TIMEOUT_S:g} s", json.dumps(views))
                 return
             await asyncio.sleep(LOG_POLL_INTERVAL_S)
             self.read_logs()
@@ -277,7 +277,7 @@
             return any(self.view(name) for name in names)
 
         with contextlib.suppress(ScenarioRunError):
-            await self.until(is_one_up, "one instance is there")
+            await self.until(is_one_up, "one instance is up")
 
     async def _wait_until_all_send_loads(self) -> None:
         """Wait until all restarted instances run and send loads; add a finding if they do not."""
@@ -292,8 +292,8 @@
         try:
             await self.until(do_all_send, "all send loads")
         except ScenarioRunError as error:
-            views = {n: self.view(n).get("recovery", "not there") for n in names}
-            self._add_finding(f"not back: {error}", json.dumps(views))
+            views = {n: self.view(n).get("recovery", "no response") for n in names}
+            self._add_finding(f"not recovered: {error}", json.dumps(views))
 
     async def _restart(self, power_loss: PowerLoss) -> None:
         """Restart engines and instances in the order and at the times of the power loss."""
--- a/cottonhold/emulator/fault_injection/power_loss_tally.py
+++ b/cottonhold/emulator/fault_injection/power_loss_tally.py
@@ -236,14 +236,15 @@
         marks: What the harness did to processes.
     """
     rows = [
-        (a.started_at, f"asked at n{a.instance}, ref {a.request_id}, try {a.number}") for a in load.attempts
+        (a.started_at, f"sent to n{a.instance}, ref {a.request_id}, attempt {a.number}")
+        for a in load.attempts
     ]
     rows += [
         (a.ended_at, f"ref {a.request_id} at n{a.instance}: {a.end} '{a.text}'")
         for a in load.attempts
         if a.end is not None
     ]
-    rows += [(at, f"came to an engine, ref {request_id}") for at, request_id in load.arrivals]
+    rows += [(at, f"arrived at an engine, ref {request_id}") for at, request_id in load.arrivals]
     rows += [(e.began_at, f"BEGAN at {e.engine}, ref {e.request_id}") for e in load.executions]
     rows += [
         (e.ended_at, f"ended at {e.engine}, ref {e.request_id}")
--- a/cottonhold/emulator/fault_injection/power_losses.py
+++ b/cottonhold/emulator/fault_injection/power_losses.py
@@ -89,7 +89,7 @@
 
     def __str__(self) -> str:
         parts = [
-            f"cut {self.number}: {self.moment.value} +{self.delay_s:.2f} s, dark {self.outage_s:.2f} s",
+            f"cut {self.number}: {self.moment.value} +{self.delay_s:.2f} s, outage {self.outage_s:.2f} s",
             f"engines {self.engine_delay_s:+.2f} s, back: {' '.join(self.order)}",
         ]
         folders = {
--- a/cottonhold/emulator/fault_injection/projection_check.py
+++ b/cottonhold/emulator/fault_injection/projection_check.py
@@ -136,8 +136,8 @@
         if not difference <= limit:
             projected, observed = verdict.figures[f"told_{name}"], verdict.figures[f"came_{name}"]
             lines.append(
-                f"foretold {name} {projected:.3g}, came {observed:.3g}: "
-                f"off by {difference:.2f}, limit {limit}"
+                f"projected {name} {projected:.3g}, observed {observed:.3g}: "
+                f"difference {difference:.2f}, limit {limit}"
             )
     return lines
 
--- a/cottonhold/emulator/fault_injection/request_rules.py
+++ b/cottonhold/emulator/fault_injection/request_rules.py
@@ -62,13 +62,15 @@
             verdict.findings.append(f"answers: {request_id} has {request.end_count} ends")
         is_unanswered = request.end in (RequestEnd.TIMED_OUT, RequestEnd.BROKEN, None)
         if is_unanswered and not is_excused(history.logs, request):
-            verdict.findings.append(f"answers: {request_id} at n{request.instance} got none in its time")
+            verdict.findings.append(
+                f"answers: {request_id} at n{request.instance} received none within its timeout"
+            )
         if request.end is RequestEnd.SERVED:
             engine = request.text
             executions = history.executions.get(request_id, [])
             if not any(e.engine == engine and e.end is ExecutionEnd.DONE for e in executions):
                 verdict.findings.append(
-                    f"made: {request_id} was served as by '{engine}', which did not make it"
+                    f"made: {request_id} was answered as served by '{engine}', which did not run it"
                 )
 
 
@@ -99,7 +101,7 @@
             stalled_s = history.logs.stalled_s(following.sent_at, send.ended_at)
             if overlap_s > LINK_DELAY_S + stalled_s:
                 verdict.findings.append(
-                    f"one out: {request_id} was at {send.engine} and {following.engine} at once"
+                    f"one out: {request_id} was open at {send.engine} and {following.engine} simultaneously"
                 )
 
 
@@ -127,7 +129,9 @@
         for at, event, *_ in lines:
             if event == "tipped":
                 since_start_s = at - history.logs.load_started_at
-                verdict.findings.append(f"cold: {engine} was pushed over {since_start_s:.1f} s into the day")
+                verdict.findings.append(
+                    f"cold: {engine} was overloaded {since_start_s:.1f} s after the start of the load"
+                )
 
 
 def check_drains(history: RunHistory, verdict: Verdict) -> None:
@@ -140,7 +144,7 @@
                 if known_at + RESPONSE_SLACK_S < send.sent_at < end:
                     late_s = send.sent_at - begin
                     verdict.findings.append(
-                        f"drain: {request_id} went to {send.engine} {late_s:.2f} s after its drain, "
+                        f"drain: {request_id} was sent to {send.engine} {late_s:.2f} s after its drain, "
                         f"by {send.instance}"
                     )
 
--- a/cottonhold/emulator/fault_injection/script.py
+++ b/cottonhold/emulator/fault_injection/script.py
@@ -188,11 +188,11 @@
             instances = [f"n{i}" for i in range(int(numbers[1]), int(numbers[2]) + 1)]
             if instances and set(instances) <= set(names):
                 return instances
-        raise self.error(f"'{target}' names no process")
+        raise self.error(f"target '{target}' selects no process")
 
     def error(self, problem: str) -> ScriptError:
         """Return an error that names this scenario and the problem."""
-        return ScriptError(f"day '{self.name}': {problem}")
+        return ScriptError(f"scenario '{self.name}': {problem}")
 
 
 def check_scenario(scenario: Scenario) -> Scenario:
@@ -203,14 +203,14 @@
     """
     engines = len(scenario.zones) * scenario.engines_per_zone
     if not 1 <= scenario.instances <= MAX_INSTANCES or not 1 <= engines <= MAX_ENGINES:
-        raise scenario.error("1 to 16 instances and 1 to 64 engines can be played")
+        raise scenario.error("the limits are 1 to 16 instances and 1 to 64 engines")
     is_too_much = scenario.duration_s > MAX_DURATION_S or scenario.requests_per_s > MAX_REQUESTS_PER_S
     if len(scenario.instance_weights) < scenario.instances or is_too_much:
-        raise scenario.error("a weight for each instance, 600 s and 5000/s at most")
+        raise scenario.error("each instance needs a weight, and the limits are 600 s and 5000 requests/s")
     _check_zones(scenario)
     can_vote = scenario.has_state_folders and scenario.instances >= MIN_VOTING_INSTANCES
     if scenario.has_affinity and not (can_vote and scenario.has_fleet):
-        raise scenario.error("pins need state, the fleet, and three instances")
+        raise scenario.error("'pins' needs 'state', 'fleet' and three instances")
     for fault in scenario.faults:
         _check_fault(scenario, fault, can_vote)
     return scenario
@@ -219,23 +219,23 @@
 def _check_zones(scenario: Scenario) -> None:
     zones = scenario.instance_zones
     if zones and (len(zones) != scenario.instances or not set(zones) <= set(scenario.zones)):
-        raise scenario.error("a home for each instance, each a zone of the day")
+        raise scenario.error("'homes' needs one zone of the scenario for each instance")
     distant = {zone for pair in scenario.zone_distances_ms for zone in pair.split("-")}
     if distant and (not zones or not distant <= set(scenario.zones)):
-        raise scenario.error("distances are between zones of the day, and need homes")
+        raise scenario.error("'distance' needs 'homes', and names zones of the scenario only")
 
 
 def _check_fault(scenario: Scenario, fault: Fault, can_vote: bool) -> None:
     if fault.verb in SOURCE_VERBS and not scenario.has_consul:
-        raise scenario.error(f"'{fault.verb}' needs a source of the list: consul")
+        raise scenario.error(f"'{fault.verb}' needs 'consul'")
     if fault.verb == "swap" and not (can_vote and "machines" in fault.options):
-        raise scenario.error("'swap' needs state, three instances, and names machines")
+        raise scenario.error("'swap' needs 'state', three instances and 'machines'")
     if fault.verb in STATE_FOLDER_VERBS and not scenario.has_state_folders:
-        raise scenario.error(f"'{fault.verb}' needs state folders: state")
+        raise scenario.error(f"'{fault.verb}' needs 'state'")
     if fault.verb == "disk" and fault.options.get("state") not in DISK_STATES:
-        raise scenario.error(f"a disk is one of {', '.join(DISK_STATES)}")
+        raise scenario.error(f"the state of a disk is one of {', '.join(DISK_STATES)}")
     if fault.verb not in VERBS | SOURCE_VERBS | STATE_FOLDER_VERBS:
-        raise scenario.error(f"there is no verb '{fault.verb}'")
+        raise scenario.error(f"unknown verb '{fault.verb}'")
     for target in (fault.target, fault.other):
         scenario.resolve_target(target)
 
@@ -254,4 +254,4 @@
     try:
         return check_scenario(msgspec.json.decode(data, type=Scenario))
     except msgspec.MsgspecError as error:
-        raise ScriptError(f"the day can't be read: {error}") from None
+        raise ScriptError(f"the scenario can't be read: {error}") from None
