--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -1,7 +1,7 @@
-"""The checker's rules about loads that clients retry: by what a load is, across instances.
+"""The checker's rules about loads that clients retry at other instances under other request ids.
 
-A clean run has two loads on one key, the first of them requested twice at two instances; each defect is
-planted in it.
+A correct run has two loads on one key, and a client sends the first one to two instances. Each defect is added
+to that run.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 def log_execution(
     engine: list[LogLine], ref: str, number: int, arrived_at: float, began_at: float | None, ended_at: float
 ) -> None:
-    """What an engine writes of a load on k1."""
+    """Add the lines that an engine logs about a load on k1; without `began_at` its connection breaks."""
     engine.append([arrived_at, "get", ref, "load", "k1", number, 100.0])
     if began_at is not None:
         engine.append([began_at, "run", ref])
@@ -71,7 +71,7 @@
 
 
 def run_before_the_failure(logs: RunLogs) -> None:
-    """The first attempt had begun when its instance broke."""
+    """Let the first attempt begin before its instance fails."""
     logs.engines["a0"][2:2] = [[100.02, "run", "r1"]]
 
 
@@ -80,14 +80,14 @@
 
 
 def run_at_once(logs: RunLogs) -> None:
-    """Load 2 is asked for, and begins at the other engine, while load 1 runs."""
+    """Let load 2 be requested, and begin at the other engine, while load 1 runs."""
     del logs.engines["b0"][4:]
     log_execution(logs.engines["a0"], "r3", 2, 100.62, 100.63, 100.75)
     logs.clients[4:] = [[100.62, "ask", "r3", "load", 0, 0, 2, 3000], [100.9, "served", "r3", "a0"]]
 
 
 def run_in_reverse_order(logs: RunLogs) -> None:
-    """Load 1 was given up as one that may have run, and runs after load 2 nevertheless."""
+    """Let load 1 be answered as one that may have run, and run after load 2 nevertheless."""
     logs.clients[3] = [100.8, "failed", "r2", "the query failed; it may have run"]
     del logs.engines["b0"][1:]
     log_execution(logs.engines["b0"], "r3", 2, 101.01, 101.02, 101.12)
@@ -191,7 +191,7 @@
 
 def test_a_state_folder_is_copied_emptied_and_restored(tmp_path: Path) -> None:
     machines = Machines(tmp_path)
-    machines.restore_old_folder("n0")  # nothing was kept: it stays as it is
+    machines.restore_old_folder("n0")  # there is no copy: the folder is unchanged
     started = machines.start("n0")
     assert json.loads(Path(started["disk"]).read_text()) == {} and not started["clock_s"]
     record = machines.state_folder("n0") / "record"
@@ -224,15 +224,15 @@
 
 
 def test_a_prepared_engine_takes_its_settings_and_later_changes(tmp_path: Path) -> None:
-    """Both lines come at once: the second is left for the control of the engine that serves."""
+    """Both lines are sent together: the second must be left for the reader of trait changes."""
     ledger = tmp_path / "a0.jsonl"
     settings = {"id": "a0", "port": 0, "ledger": str(ledger), "traits": {}}
     lines = json.dumps(settings) + "\n" + json.dumps({"slow": 7.0}) + "\n"
     program = [sys.executable, "-m", "cottonhold.emulator.fault_injection.engine", "--waits"]
     finished = subprocess.run(program, input=lines.encode(), capture_output=True, timeout=60)
     assert finished.returncode == 0 and int(finished.stdout) > 0
-    finding_start = [json.loads(line)[1:] for line in ledger.read_text().splitlines()]
-    assert finding_start == [["start", ""], ["set", "", "slow", 7.0]]
+    events = [json.loads(line)[1:] for line in ledger.read_text().splitlines()]
+    assert events == [["start", ""], ["set", "", "slow", 7.0]]
 
 
 @pytest.mark.parametrize(
@@ -265,7 +265,7 @@
         Scenario(name="d", description="", instance_zones=("a",)),
         Scenario(name="d", description="", instances=1, instance_zones=("elsewhere",)),
     ],
-    ids=["no folders", "no such disk", "a home for one of six", "no such zone"],
+    ids=["no folders", "no such disk", "a zone for one of six instances", "no such zone"],
 )
 def test_an_invalid_scenario_of_machines_is_rejected(scenario: Scenario) -> None:
     with pytest.raises(ScriptError):
--- a/tests/emulator/test_checker_projections.py
+++ b/tests/emulator/test_checker_projections.py
@@ -1,4 +1,4 @@
-"""What was projected of a zone's loss, against what the logs show: right, and planted wrong ones."""
+"""The comparison of projected failover costs with the logs, for correct and wrong projections."""
 
 from __future__ import annotations
 
@@ -14,12 +14,19 @@
 
 BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 LOST = BY_NAME["outlook-lost"]
-# Worth: one in ten is refused. Way: from a to b and back. Cold: every other of nine a second, 0.8 of 20 ms.
+# Costs that the logs of `run_logs` show. One in ten requests is refused, which leaves a utility of 90 in 100.
+# The added latency is the round trip between a and b, in ms. Every other of nine requests a second reads a
+# cold data set and needs 0.8 x 20 ms of additional work, which is 0.072 cores.
 OBSERVED = {"offered": 100.0, "worth": 90.0, "added": 12.0, "extra": 0.072}
 
 
 def run_logs(projected: dict[str, float], scenario: Scenario = LOST) -> RunLogs:
-    """Ten requests a second of a's clients, served in a, and from the fault on in b."""
+    """Return logs with ten requests a second of clients in a, served in a before the fault and in b after it.
+
+    Args:
+        projected: Projected costs that differ from the observed ones.
+        scenario: The scenario.
+    """
     engines: dict[str, list[LogLine]] = {name: [] for name in scenario.engine_names()}
     clients: list[LogLine] = []
     for i in range(int(10 * scenario.duration_s)):
--- a/tests/emulator/test_checker_recovery.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -1,5 +1,6 @@
-"""Figures about a recovery from a power loss and about service in another zone, from logs made by hand; and
-what they depend on: data sets of an engine, delays between zones, clients that belong to a zone.
+"""Figures about a recovery from a power loss and about service in another zone, from constructed logs.
+
+Also tests what these figures depend on: data sets of an engine, delays between zones, clients with a zone.
 """
 
 from __future__ import annotations
@@ -48,8 +49,12 @@
 
 
 def recovery_logs(served: Callable[[int, int, int], bool]) -> RunLogs:
-    """Twenty requests a second at each instance, served by the engine of its zone or refused: by second,
-    instance and number."""
+    """Return logs with twenty requests a second at each instance.
+
+    Args:
+        served: Returns whether the engine of the instance's zone serves a request, by the second, the
+            instance and the number of the request; others are refused.
+    """
     engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
     clients, client = list[LogLine](), 0
     for second in range(10):
@@ -77,11 +82,11 @@
     assert figures["return_0s"] == pytest.approx(0.25) and figures["return_1s"] == 1.0
     assert figures["return_first_3s"] == pytest.approx(0.75) and figures["return_warm"] == 1.0
     assert figures["return_refused"] == 30 and figures["unlike_return"] == figures["unlike_second"] == 0.0
-    assert "return_8s" not in figures, "it is after the day's end"
+    assert "return_8s" not in figures, "it is after the end of the scenario"
 
 
 def test_possible_utility_counts_requests_that_can_wait() -> None:
-    """Twenty requests of 10 ms in each of two steps; the engines are there from the second on."""
+    """Twenty requests of 10 ms in each of two steps; the engines have capacity from the second step on."""
     requests = {str(n): RequestLog(100.0 + BIN_S * (n % 2), "cheap", 0, 0, n, 1000.0) for n in range(40)}
     logs = RunLogs({}, [], 100.0)
     assert possible_utility(RECOVERY, logs, requests, [0.0, 1000.0, 0.0]) == [20.0, 20.0, 0.0]
@@ -90,7 +95,7 @@
 
 
 def test_instances_that_treat_equal_requests_differently_are_measured() -> None:
-    """Half of those at n1 are turned away in one second of the return, none at n0."""
+    """Half of the requests at n1 are refused in one second of the recovery, none at n0."""
     figures = check_run(
         RECOVERY, recovery_logs(lambda second, i, n: not (second == 3 and i == 1 and n % 2))
     ).figures
@@ -100,7 +105,7 @@
 
 
 def test_an_instance_that_started_late_is_not_compared_with_earlier_service() -> None:
-    """n1 is there only from 4 s on, and everybody is turned away until then."""
+    """n1 runs only from 4 s on, and n0 refuses all requests until then."""
     logs = recovery_logs(lambda second, i, n: second >= 4)
     early = {line[2] for line in logs.clients if line[1] == "ask" and line[4] == 1 and line[0] < 104.0}
     for line in logs.clients:
@@ -121,10 +126,10 @@
 
 
 def test_utility_relative_to_another_run() -> None:
-    whole, half = (
+    full, half = (
         check_run(RECOVERY, recovery_logs(s)) for s in (lambda *_: True, lambda s, i, n: n % 2 == 0)
     )
-    assert relative_utility(half, whole) == pytest.approx(0.5) and relative_utility(whole, whole) == 1.0
+    assert relative_utility(half, full) == pytest.approx(0.5) and relative_utility(full, full) == 1.0
 
 
 def test_service_in_another_zone_costs_latency_and_cold_work() -> None:
@@ -177,9 +182,9 @@
 
 
 def test_zone_distances_are_symmetric() -> None:
-    far = {"a-b": 3.0}
-    assert distance_ms(far, "a", "b") == distance_ms(far, "b", "a") == 3.0
-    assert distance_ms(far, "a", "a") == distance_ms(far, "a", "c") == 0.0
+    distances = {"a-b": 3.0}
+    assert distance_ms(distances, "a", "b") == distance_ms(distances, "b", "a") == 3.0
+    assert distance_ms(distances, "a", "a") == distance_ms(distances, "a", "c") == 0.0
 
 
 def test_clients_stay_in_their_zone_while_an_instance_of_it_is_up() -> None:
@@ -205,9 +210,9 @@
 
 
 def test_nothing_is_started_without_power() -> None:
-    cuts = (9.5, 12.0, 14.5)
-    for fault in repeated_power_losses(*cuts):
-        assert fault.verb == "power" or not any(cut <= fault.at_s < cut + 1.0 for cut in cuts), str(fault)
+    times_s = (9.5, 12.0, 14.5)
+    for fault in repeated_power_losses(*times_s):
+        assert fault.verb == "power" or not any(at <= fault.at_s < at + 1.0 for at in times_s), str(fault)
 
 
 def test_every_scenario_is_valid_and_its_settings_are_json() -> None:
@@ -224,7 +229,7 @@
 
 def test_the_short_set_stays_short() -> None:
     assert sum(BY_NAME[name].duration_s for name in SHORT_SCENARIOS) < 40.0, (
-        "with starts and patience: two minutes"
+        "with starts and the patience of clients they take two minutes"
     )
 
 
@@ -248,7 +253,7 @@
 def test_a_cold_engine_tolerates_more_work_as_it_warms_up(
     age: float, work: float, is_overloaded: bool
 ) -> None:
-    """Three times slower at first and evenly faster until 3 s; at its coldest it bears 1000 ms of work."""
+    """The engine is three times slower at first and linearly faster until 3 s; its first limit is 1000 ms."""
     traits = EngineTraits(
         cold_slowdown=3.0, warm_after_ms=3000.0, overload_work_ms=1000.0, overload_window_ms=1500.0
     )
--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -1,6 +1,4 @@
-"""The harness's own parts: links that fail as set, scenarios that are decoded again, and a checker that finds
-each defect.
-"""
+"""The parts of the harness: links with faults, encoding of scenarios, and a checker that finds defects."""
 
 from __future__ import annotations
 
@@ -37,7 +35,7 @@
 
 
 async def exchange(link: TcpLink, data: bytes = b"ask") -> str:
-    """What becomes of a question to an echo behind a link."""
+    """Return the response of an echo server behind a link, or how the exchange failed."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", link.port)
     except ConnectionRefusedError:
@@ -79,17 +77,17 @@
         tested = TcpLink(("127.0.0.1", server.sockets[0].getsockname()[1]), 1)
         port = await tested.start()
         await tested.set(link)
-        found = await exchange(tested)
+        faulty = await exchange(tested)
         if link.forth.is_blocked:
-            assert not received, "one path: nothing has come"
+            assert not received, "the path to the server is blocked: nothing must arrive"
         if link.back.is_blocked:
-            assert received == [b"ask"], "the other path: it came, and no answer went back"
+            assert received == [b"ask"], "only the path back is blocked: the request must arrive"
         await tested.set(Link())
         assert tested.port == port
-        again = await exchange(tested)
+        recovered = await exchange(tested)
         await tested.stop()
         server.close()
-        return found, again
+        return faulty, recovered
 
     assert asyncio.run(scenario()) == (wanted, "ask")
 
@@ -111,13 +109,13 @@
             if len(events) > 1:
                 break
             await asyncio.sleep(0.01)
-        events_while_cut = list(events)
+        events_while_blocked = list(events)
         await tested.stop()
         server.close()
-        assert events_while_cut == [("get", "r1"), ("closed", "r1")]
+        assert events_while_blocked == [("get", "r1"), ("closed", "r1")]
 
     asyncio.run(scenario())
-    assert events == [("get", "r1"), ("closed", "r1")], "and once only"
+    assert events == [("get", "r1"), ("closed", "r1")], "each is recorded once only"
 
 
 @pytest.mark.parametrize(
@@ -163,15 +161,13 @@
 
     switch, public = asyncio.run(scenario())
     assert min_received <= len(received) <= max_received and switch.unknown_senders == 1
-    assert {port for _, port in received} <= {public[0]}, (
-        "the receiver knows the sender by its public address"
-    )
+    assert {port for _, port in received} <= {public[0]}, "the sender's address is its public one"
     if path.jitter_ms:
-        assert [d for d, _ in received] != sorted(d for d, _ in received), "some have overtaken others"
+        assert [d for d, _ in received] != sorted(d for d, _ in received), "some are reordered"
 
 
 def test_processes_end_with_the_harness_that_started_them(tmp_path: Path) -> None:
-    """Killed, and not ended in order."""
+    """The harness is killed, so that it cannot end its processes itself."""
     pids = tmp_path / "pids"
     guard = "cottonhold.emulator.fault_injection.parent_death_signal"
     code = (
@@ -193,10 +189,10 @@
             state = Path(f"/proc/{child}/stat").read_text().rpartition(")")[2].split()[0]
         except OSError:
             return
-        if state == "Z":  # nobody waits for it any more, but it has ended
+        if state == "Z":  # it has ended, but has not been reaped
             return
         time.sleep(0.01)
-    raise AssertionError("the child lives on")
+    raise AssertionError("the child still runs")
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=[d.name for d in SCENARIOS])
@@ -245,9 +241,7 @@
 
 
 def clean_logs() -> RunLogs:
-    """Four requests, one each second, each served by the engine that made it; two of them loads on one
-    key.
-    """
+    """Return logs with four requests, one each second, all served; two of them are loads on one key."""
     engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
     clients, links = list[LogLine](), list[LogLine]()
     for n in range(4):
@@ -321,7 +315,7 @@
     assert findings and all(finding.startswith(kind) for finding in findings)
 
 
-@pytest.mark.parametrize("end, found", [(101.85, 0), (101.5, 1)], ids=["all of it", "not all of it"])
+@pytest.mark.parametrize("end, found", [(101.85, 0), (101.5, 1)], ids=["the whole overlap", "a part of it"])
 def test_overlapping_attempts_are_excused_by_stalls_of_the_harness(end: float, found: int) -> None:
     logs = clean_logs()
     overlap_attempts(logs)
@@ -335,7 +329,7 @@
         lambda s: s.marks.append(Mark(101.5, "kill", "n0")),
         lambda s: s.marks.extend([Mark(101.1, "stop", "n0"), Mark(109.0, "go", "n0")]),
     ],
-    ids=["killed", "stood still"],
+    ids=["killed", "stopped"],
 )
 def test_no_answer_is_expected_of_a_killed_or_stopped_instance(excuse: Defect) -> None:
     logs = clean_logs()
@@ -359,7 +353,7 @@
         [Mark(101.2, "drain", "a0"), Mark(101.1, "deaf", "n0")],
         [Mark(101.2, "drain", "a0"), Mark(101.3, "stop", "n0"), Mark(101.9, "go", "n0")],
     ],
-    ids=["just told", "taken back", "cut off", "stood still"],
+    ids=["just announced", "revoked", "disconnected", "stopped"],
 )
 def test_a_send_to_a_draining_engine_is_excused_while_the_drain_is_unknown(
     marks: list[Mark],
--- a/tests/emulator/test_power_losses.py
+++ b/tests/emulator/test_power_losses.py
@@ -1,4 +1,4 @@
-"""What is counted over many power losses: loads by their number, whichever request they came by."""
+"""The tally of loads over many power losses, and the random power losses themselves."""
 
 from __future__ import annotations
 
@@ -19,15 +19,18 @@
 from cottonhold.emulator.fault_injection.power_losses import PowerLossDraw, PowerLossMoment
 from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, WorkerPool
 
-POWER_LOST_AT = 103.0
+POWER_LOSS_AT = 103.0
 INSTANCES = ("n0", "n1", "n2", "n3")
 
 Logs = dict[str, list[LogLine]]
 
 
 def clean_logs() -> Logs:
-    """Load 7 has begun at a0 as power goes; its retry is told so at n1. Load 8 had not come that far: its
-    retry is sent."""
+    """Return logs of two loads that a power loss interrupts.
+
+    Load 7 has begun at a0, and n1 answers its retry accordingly. Load 8 has not arrived at an engine, and n1
+    sends its retry.
+    """
     return {
         "clients": [
             [101.0, "ask", "r1", "load", 0, 0, 7, 5000],
@@ -49,29 +52,29 @@
 
 
 def tallied(logs: Logs) -> Tally:
-    """All lines, with the power loss between."""
+    """Return the tally of all lines, with a power loss after those up to POWER_LOSS_AT."""
     tally = Tally()
     for before in (True, False):
         for name, lines in logs.items():
-            some = [line for line in lines if (line[0] <= POWER_LOST_AT) == before]
+            some = [line for line in lines if (line[0] <= POWER_LOSS_AT) == before]
             tally.on_client_lines(some) if name == "clients" else tally.on_engine_lines(name, some)
         if before:
-            tally.on_power_loss(POWER_LOST_AT)
+            tally.on_power_loss(POWER_LOSS_AT)
     return tally
 
 
 def test_one_power_loss_is_counted() -> None:
-    found = observe_power_loss(tallied(clean_logs()), POWER_LOST_AT - 0.01)
-    assert (found.in_flight, found.at_engines, found.unreported) == (2, 1, 1)
-    assert found.answers == Counter(may=1, sent=1)
+    observed = observe_power_loss(tallied(clean_logs()), POWER_LOSS_AT - 0.01)
+    assert (observed.in_flight, observed.at_engines, observed.unreported) == (2, 1, 1)
+    assert observed.answers == Counter(may=1, sent=1)
     assert (
         tallied(clean_logs()).duplicates == []
-        and unanswered(tallied(clean_logs()), [POWER_LOST_AT], 200.0) == []
+        and unanswered(tallied(clean_logs()), [POWER_LOSS_AT], 200.0) == []
     )
 
 
 def run_again(logs: Logs) -> None:
-    """Load 7's retry is sent, and begins; the first one never came to its end."""
+    """Let the retry of load 7 begin at an engine although its first execution did not end."""
     logs["b0"] += [[104.2, "get", "r3", "load", "k7", 7, 300.0], [104.2, "run", "r3"]]
 
 
@@ -91,7 +94,7 @@
     plant_defect(logs)
     tally = tallied(logs)
     assert tally.duplicates == [number]
-    lines = timeline(tally.load(number), 100.0, [(POWER_LOST_AT, "kill", "n0")])
+    lines = timeline(tally.load(number), 100.0, [(POWER_LOSS_AT, "kill", "n0")])
     assert sum("BEGAN" in line for line in lines) == 2 and any("kill n0" in line for line in lines)
 
 
@@ -108,7 +111,7 @@
         [asked_at, "ask", "r9", "load", 2, 0, 9, 5000],
         [asked_at + 5.5, "nothing", "r9", ""],
     ]
-    assert len(unanswered(tallied(logs), [POWER_LOST_AT], 150.0)) == found
+    assert len(unanswered(tallied(logs), [POWER_LOSS_AT], 150.0)) == found
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -143,7 +146,7 @@
         assert first.poll() is None
         first.kill()
         assert first.wait(60.0) == 0 and first.poll() == 0
-        first.kill()  # of one that has ended: nothing
+        first.kill()  # has no effect on a process that has ended
         assert second.poll() is None
     finally:
         pool.close()
