--- a/cottonhold/emulator/fault_injection/client_model.py
+++ b/cottonhold/emulator/fault_injection/client_model.py
@@ -11,7 +11,7 @@
 from msgspec import field
 
 MAY_HAVE_RUN = "may have run"  # text of an instance's answer to a load whose end is unknown
-MAX_ATTEMPTS = 50  # of a client that retries a load until it receives its result
+MAX_ATTEMPTS = 50  # limit for a client that retries a load until it receives its result
 MAX_RETRY_DELAY_MS = 1000.0
 
 
--- a/cottonhold/emulator/fault_injection/power_loss_run.py
+++ b/cottonhold/emulator/fault_injection/power_loss_run.py
@@ -32,7 +32,7 @@
 RESULT_FILE = "cuts.json"
 CLIENT_TIMEOUT_S = 5.0
 LOAD_RETENTION_S = 2 * CLIENT_TIMEOUT_S + 10.0  # how long instances remember a load
-SERVING_TIMEOUT_S = 60.0  # for loads to be served again, on a shared machine
+SERVING_TIMEOUT_S = 60.0  # timeout until loads are served again, on a shared machine
 MIN_TIMEOUT_MS = 1400.0  # attempts with a shorter timeout may fail because the machine is busy
 MAX_SEND_DELAY_S = 0.3  # an attempt that was sent later than this does not count as unanswered
 FINAL_PHASE_S = 120.0  # at the end of a scenario, without power losses
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -1,7 +1,7 @@
 """The checker's rules about loads that clients retry at other instances under other request ids.
 
-A correct run has two loads on one key, and a client sends the first one to two instances. Each defect is added
-to that run.
+A correct run has two loads on one key, and a client sends the first one to two instances. Each defect is
+added to that run.
 """
 
 from __future__ import annotations
