--- a/benchmarks/fleet/cuts.py
+++ b/benchmarks/fleet/cuts.py
@@ -26,8 +26,8 @@
     RESULT_FILE,
     PowerLossRun,
     PowerLossRunResult,
+    power_loss_scenario,
     read_result,
-    scenario_of,
 )
 from cottonhold.emulator.fault_injection.power_loss_tally import RetryAnswer, timeline
 from cottonhold.emulator.fault_injection.power_losses import PowerLossMoment
@@ -45,7 +45,7 @@
 
 def play(seed: int, folder: Path, count: int, has_ledger: bool, defect: str) -> None:
     """Play one fleet in this process."""
-    run = PowerLossRun(scenario_of(seed), folder, has_ledger, defect)
+    run = PowerLossRun(power_loss_scenario(seed), folder, has_ledger, defect)
     try:
         uvloop.run(run.run(count))
     finally:
@@ -133,7 +133,7 @@
     """Print what became of a load, from the logs of earlier runs."""
     for path in sorted(folder.rglob(RESULT_FILE)):
         result = read_result(path)
-        run = PowerLossRun(scenario_of(result.seed), path.parent, forks=False)
+        run = PowerLossRun(power_loss_scenario(result.seed), path.parent, forks=False)
         run.read_logs()
         if number in run.tally.loads:
             print(f"seed {result.seed}")
--- a/cottonhold/emulator/fault_injection/clients.py
+++ b/cottonhold/emulator/fault_injection/clients.py
@@ -137,7 +137,7 @@
     async def _run_client(self) -> None:
         client = self._draw_client()
         behaviour = self.load.behaviour
-        takes_advice = self.random.random() < behaviour.retry_after_share
+        obeys_retry_after = self.random.random() < behaviour.retry_after_share
         deadline = time.monotonic() + client.request_class.patience_ms / 1000
         unreached: set[int] = set()  # instances that a client with a zone does not try again
         for attempts in itertools.count(1):
@@ -147,7 +147,7 @@
             is_load = client.request_class.is_load
             if is_load and behaviour.retries_unfinished_loads and behaviour.response_timeout_ms:
                 timeout_ms = min(timeout_ms, behaviour.response_timeout_ms)
-            instance = self._instance(client.zone, unreached)
+            instance = self._choose_instance(client.zone, unreached)
             end, text = await self._attempt(client, attempts, timeout_ms, instance)
             if client.zone and end is RequestEnd.UNREACHED:
                 unreached.add(instance)
@@ -155,7 +155,7 @@
                 return
             advised = RETRY_AFTER.search(text)
             delay_ms = behaviour.retry_delay_after_ms(attempts)
-            if advised and takes_advice:
+            if advised and obeys_retry_after:
                 delay_ms = float(advised[1])
             await asyncio.sleep(delay_ms * (0.75 + 0.5 * self.random.random()) / 1000)
 
@@ -167,7 +167,7 @@
             zone = self.random.choices(self.load.instance_zones, self.load.instance_weights)[0]
         return Client(next(self.client_numbers), request_class, zone)
 
-    def _instance(self, zone: str, unreached: Set[int] = frozenset()) -> int:
+    def _choose_instance(self, zone: str, unreached: Set[int] = frozenset()) -> int:
         """Return the number of a random instance, by weight.
 
         Instances that the load balancer has detected as failed or that the client failed to reach are left
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -57,7 +57,7 @@
             "peers": self._on_peers,
             "forge": self._on_forge,
             "replay": self._on_replay,
-            "order": self._on_order,
+            "order": self._on_zone_override,
             "traits": self._on_traits,
             "drain": self._on_drain,
             "undrain": self._on_drain,
@@ -165,7 +165,7 @@
         for sender, receiver, data in datagrams:
             switch.forward(switch.ports[sender], receiver, data)
 
-    async def _on_order(self, fault: Fault) -> None:
+    async def _on_zone_override(self, fault: Fault) -> None:
         call = {"call": "order", "for_ms": ORDER_DURATION_MS, "who": "rig", "why": "a trial", **fault.options}
         with contextlib.suppress(OSError, ValueError):
             await asyncio.to_thread(call_instance, self.run.folder / f"{fault.target}.sock", call)
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -45,7 +45,7 @@
 # Time after the last request's patience within which the clients' process ends.
 CLIENT_END_S = 5.0
 PROJECTION_LEAD_S = 1.0  # time before a zone's outage at which the projected costs are read
-POLL_INTERVAL_S = 0.1  # between checks for faults that are due
+POLL_INTERVAL_S = 0.1  # interval of the checks for faults that are due
 Progress = Callable[[float, str], None]
 
 
--- a/cottonhold/emulator/fault_injection/links.py
+++ b/cottonhold/emulator/fault_injection/links.py
@@ -233,7 +233,7 @@
         on_bytes: Callable[[bytes], None] | None,
         on_end: Callable[[], None] | None,
     ) -> tuple[Coroutine[None, None, None], Coroutine[None, None, None]]:
-        """Return two coroutines for one direction: a reader that never waits for the path, and a writer."""
+        """Return two coroutines for one direction: a reader, which reads ahead of the path, and a writer."""
         pending: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(maxsize=MAX_PENDING_CHUNKS)
 
         async def read() -> None:
--- a/cottonhold/emulator/fault_injection/network.py
+++ b/cottonhold/emulator/fault_injection/network.py
@@ -98,7 +98,7 @@
         )
 
     def distance_ms(self, instance: str, other: str) -> float:
-        """Return the delay one way between an instance and an engine or another instance."""
+        """Return the one-way delay between an instance and an engine or another instance, in ms."""
         if not self.scenario.instance_zones:
             return 0.0
         return distance_ms(self.scenario.zone_distances_ms, self._zone_of(instance), self._zone_of(other))
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from cottonhold.emulator.fault_injection.harness import ScenarioRun
 
-POLL_INTERVAL_S = 0.2  # between reads of the instances' views
-RETRY_INTERVAL_S = 1.0  # before a request that the instance did not answer is repeated
+POLL_INTERVAL_S = 0.2  # interval at which the instances' views are read
+RETRY_INTERVAL_S = 1.0  # delay before an unanswered request is repeated
 MAX_ATTEMPTS = 10
 DEFAULT_ABSENCE_S = 1.5
 
--- a/cottonhold/emulator/fault_injection/power_loss_run.py
+++ b/cottonhold/emulator/fault_injection/power_loss_run.py
@@ -21,12 +21,12 @@
 from cottonhold.emulator.fault_injection.event_log import LogLine, Mark
 from cottonhold.emulator.fault_injection.harness import ScenarioRun, ScenarioRunError
 from cottonhold.emulator.fault_injection.power_loss_tally import (
-    Tally,
+    LoadTally,
     observe_power_loss,
     timeline,
     unanswered,
 )
-from cottonhold.emulator.fault_injection.power_losses import PowerLoss, PowerLossDraw, PowerLossMoment
+from cottonhold.emulator.fault_injection.power_losses import PowerLoss, PowerLossGenerator, PowerLossMoment
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 RESULT_FILE = "cuts.json"
@@ -34,14 +34,14 @@
 LOAD_RETENTION_S = 2 * CLIENT_TIMEOUT_S + 10.0  # how long instances remember a load
 SERVING_TIMEOUT_S = 60.0  # timeout until loads are served again, on a shared machine
 MIN_TIMEOUT_MS = 1400.0  # attempts with a shorter timeout may fail because the machine is busy
-MAX_SEND_DELAY_S = 0.3  # an attempt that was sent later than this does not count as unanswered
+MAX_SEND_DELAY_S = 0.3  # an attempt sent later than this after its begin is no finding
 FINAL_PHASE_S = 120.0  # at the end of a scenario, without power losses
 SETTLE_S = LOAD_RETENTION_S + 4.0  # until load records are complete, and retried loads are forgotten
 LOG_POLL_INTERVAL_S = 0.1
 STALL_CHECK_INTERVAL_S, MIN_STALL_S = 0.05, 0.25
 
 
-def scenario_of(seed: int) -> Scenario:
+def power_loss_scenario(seed: int) -> Scenario:
     """Return the scenario of a seed, which also determines the clients' behaviour."""
     draw = random.Random(seed)
     behaviour = ClientBehaviour(
@@ -155,7 +155,7 @@
         forks: bool = True,
     ) -> None:
         super().__init__(scenario, folder, forks=forks, defect=defect)
-        self.has_ledger, self.tally = has_ledger, Tally()
+        self.has_ledger, self.tally = has_ledger, LoadTally()
         self.power_loss_times: list[float] = []
         self.power_losses: list[PowerLoss] = []
         self.findings: list[str] = []
@@ -188,7 +188,7 @@
         seed = self.scenario.seed
         restart = asyncio.create_task(asyncio.sleep(0.0))
         restarted_at = time.monotonic()
-        for power_loss in PowerLossDraw(seed, self.scenario.instance_names()).power_losses(count):
+        for power_loss in PowerLossGenerator(seed, self.scenario.instance_names()).power_losses(count):
             if time.monotonic() - self.started_at > self.scenario.duration_s - FINAL_PHASE_S:
                 break  # the clients are about to end
             await self._wait_for_moment(power_loss, restart, restarted_at)
@@ -386,7 +386,7 @@
             has_wrong_folder=[
                 bool(loss.emptied or loss.restored or loss.backup) for loss in self.power_losses
             ],
-            has_instance_away=[bool(loss.away) for loss in self.power_losses],
+            has_instance_away=[bool(loss.absent) for loss in self.power_losses],
             observed=[
                 PowerLossCounts(o.in_flight, o.at_engines, o.unreported, dict(o.answers)) for o in observed
             ],
--- a/cottonhold/emulator/fault_injection/power_loss_tally.py
+++ b/cottonhold/emulator/fault_injection/power_loss_tally.py
@@ -105,13 +105,13 @@
         return min((a.ended_at for a in self.attempts if a.end is RequestEnd.SERVED), default=math.inf)
 
 
-class Tally:
+class LoadTally:
     """Collects the loads from the lines of the clients' and engines' logs as they are written."""
 
     def __init__(self) -> None:
         self.loads: dict[int, ObservedLoad] = {}
         self.attempts: dict[str, Attempt] = {}
-        self.present: dict[tuple[str, str], ObservedLoad] = {}  # at engines, by engine and request id
+        self.received: dict[tuple[str, str], ObservedLoad] = {}  # at engines, by engine and request id
         self.running: dict[tuple[str, str], LoadExecution] = {}
         self.duplicates: list[int] = []  # loads that began twice, in the order of detection
 
@@ -139,18 +139,18 @@
         for at, event, request_id, *details in lines:
             place = engine, request_id
             if event == "get" and details[1]:
-                load = self.present[place] = self.load(details[2])
+                load = self.received[place] = self.load(details[2])
                 load.arrivals.append((at, request_id))
-            elif event == "run" and place in self.present:
+            elif event == "run" and place in self.received:
                 self._on_begun(place, at)
             elif event in ("done", "drop", "broke"):
-                self.present.pop(place, None)
+                self.received.pop(place, None)
                 execution = self.running.pop(place, None)
                 if execution is not None:
                     execution.ended_at = at
 
     def _on_begun(self, place: tuple[str, str], at: float) -> None:
-        load, execution = self.present[place], LoadExecution(*place, at)
+        load, execution = self.received[place], LoadExecution(*place, at)
         self.running[place] = execution
         load.executions.append(execution)
         if len(load.executions) == 2:
@@ -161,7 +161,7 @@
         for execution in self.running.values():
             execution.ended_at = min(execution.ended_at, at)
         self.running.clear()
-        self.present.clear()
+        self.received.clear()
 
 
 @dataclass(slots=True)
@@ -181,7 +181,7 @@
     answers: Counter[str] = field(default_factory=Counter)
 
 
-def observe_power_loss(tally: Tally, at: float, next_at: float = math.inf) -> ObservedPowerLoss:
+def observe_power_loss(tally: LoadTally, at: float, next_at: float = math.inf) -> ObservedPowerLoss:
     """Return the counts for a power loss at a time; `next_at` is the time of the next power loss."""
     observed = ObservedPowerLoss()
     for load in tally.loads.values():
@@ -197,7 +197,7 @@
 
 
 def unanswered(
-    tally: Tally,
+    tally: LoadTally,
     power_losses: Sequence[float],
     until: float,
     stalls: Sequence[tuple[float, float]] = (),
--- a/cottonhold/emulator/fault_injection/power_losses.py
+++ b/cottonhold/emulator/fault_injection/power_losses.py
@@ -9,7 +9,7 @@
 
 # Probability that an instance is not restarted, and the largest number of restarts that it misses.
 ABSENCE_PROBABILITY, MAX_ABSENT_RETURNS = 0.12, 3
-BACKUP_PROBABILITY = 0.7  # that a backup is restored at a power loss that waits until all have settled
+BACKUP_PROBABILITY = 0.7  # of restoring a backup at a power loss that waits until all have settled
 EMPTIED_PROBABILITY, COPY_PROBABILITY = 0.08, 0.15
 MAX_RETURNS_UNTIL_SETTLED = 2
 MAX_RETURNS_UNTIL_PUT_BACK = 4
@@ -78,7 +78,7 @@
     order: tuple[str, ...]
     gaps_s: tuple[float, ...]
     engine_delay_s: float
-    away: tuple[str, ...] = ()
+    absent: tuple[str, ...] = ()
     emptied: str = ""
     restored: str = ""
     copied: str = ""
@@ -99,7 +99,7 @@
             "backup": self.backup,
         }
         parts += [f"{change} {name}" for change, name in folders.items() if name]
-        parts += [f"away {' '.join(self.away)}"] if self.away else []
+        parts += [f"away {' '.join(self.absent)}"] if self.absent else []
         parts += [f"leak {self.leak_share:g}"] if self.leak_share else []
         return ", ".join(parts)
 
@@ -121,7 +121,7 @@
     copied: str = ""
 
 
-class PowerLossDraw:
+class PowerLossGenerator:
     """Draws the power losses of one fleet, one after another.
 
     At most one folder is emptied or old at a time: several old folders cannot be detected unless an instance
@@ -130,7 +130,7 @@
 
     def __init__(self, seed: int, instances: Sequence[str]) -> None:
         self.random, self.instances = random.Random(seed), tuple(instances)
-        self.away: dict[str, int] = {}  # remaining restarts that each absent instance misses
+        self.absent: dict[str, int] = {}  # remaining restarts that each absent instance misses
         self.copy: Countdown | None = None  # a copied folder, until it is restored
         self.wrong_folder: Countdown | None = None  # an emptied or old folder, until all have settled
 
@@ -146,7 +146,7 @@
         self._draw_absence()
         backup = self._draw_backup() if waits_for_rest else ""
         folders = FolderChanges() if backup else self._draw_folders()
-        order = [name for name in self.instances if name not in self.away]
+        order = [name for name in self.instances if name not in self.absent]
         draw.shuffle(order)
         clock_offsets_s = self._draw_clock_offsets(order)
         moment = draw.choices(list(PowerLossMoment), MOMENT_WEIGHTS)[0]
@@ -159,7 +159,7 @@
             order=tuple(order),
             gaps_s=self._draw_gaps_s(len(order)),
             engine_delay_s=draw.choice((-0.6, 0.0, 0.0, draw.uniform(0.0, 1.0))),
-            away=tuple(self.away),
+            absent=tuple(self.absent),
             emptied=folders.emptied,
             restored=folders.restored,
             copied=folders.copied,
@@ -171,7 +171,7 @@
 
     def _advance_countdowns(self) -> bool:
         """Count the last restart; return whether the next power loss waits until all have settled."""
-        self.away = {name: remaining - 1 for name, remaining in self.away.items() if remaining > 1}
+        self.absent = {name: remaining - 1 for name, remaining in self.absent.items() if remaining > 1}
         if self.wrong_folder is None:
             return False
         wrong, waits_for_rest = self.wrong_folder, self.wrong_folder.remaining == 0
@@ -180,15 +180,15 @@
 
     def _draw_absence(self) -> None:
         draw = self.random
-        if not self.away and draw.random() < ABSENCE_PROBABILITY:
+        if not self.absent and draw.random() < ABSENCE_PROBABILITY:
             wrong = self.wrong_folder.instance if self.wrong_folder is not None else ""
             candidates = [name for name in self.instances if name != wrong]
-            self.away = {draw.choice(candidates): draw.randint(1, MAX_ABSENT_RETURNS)}
+            self.absent = {draw.choice(candidates): draw.randint(1, MAX_ABSENT_RETURNS)}
 
     def _draw_backup(self) -> str:
         """Draw the instance whose folder is replaced by a backup; empty for none."""
         draw = self.random
-        if self.away or draw.random() >= BACKUP_PROBABILITY:
+        if self.absent or draw.random() >= BACKUP_PROBABILITY:
             return ""
         backup = draw.choice(self.instances)
         self.wrong_folder = Countdown(backup, draw.randint(0, MAX_RETURNS_UNTIL_SETTLED))
@@ -197,10 +197,10 @@
 
     def _draw_folders(self) -> FolderChanges:
         draw = self.random
-        present = [name for name in self.instances if name not in self.away]
+        present = [name for name in self.instances if name not in self.absent]
         if self.copy is not None:
             copy = self.copy
-            if copy.remaining > 0 or copy.instance in self.away:
+            if copy.remaining > 0 or copy.instance in self.absent:
                 self.copy = Countdown(copy.instance, max(copy.remaining - 1, 0))
                 return FolderChanges()
             self.copy = None
--- a/cottonhold/emulator/fault_injection/recovery_quality.py
+++ b/cottonhold/emulator/fault_injection/recovery_quality.py
@@ -138,7 +138,7 @@
 
 
 def _measure_fairness(scenario: Scenario, counts: EndCounts, verdict: Verdict) -> None:
-    differences = {kind.name: _difference(counts, kind.name) for kind in scenario.request_classes}
+    differences = {kind.name: _service_difference(counts, kind.name) for kind in scenario.request_classes}
     verdict.figures |= {f"unlike_return_{name}": found[0] for name, found in differences.items()}
     verdict.figures["unlike_return"], verdict.figures["unlike_error"] = max(differences.values())
     in_one_second = (_difference_in_second(by_instance) for by_instance in counts.values())
@@ -154,7 +154,7 @@
     return max(shares) - min(shares) if shares else 0.0
 
 
-def _difference(counts: EndCounts, class_name: str) -> tuple[float, float]:
+def _service_difference(counts: EndCounts, class_name: str) -> tuple[float, float]:
     """Return the largest difference between two instances in one class, and its standard error.
 
     Each instance is compared with the share that all instances served in the same seconds, so that one that
--- a/cottonhold/emulator/fault_injection/report.py
+++ b/cottonhold/emulator/fault_injection/report.py
@@ -65,7 +65,7 @@
     result: dict[str, Any] = json.loads((folder / RESULT_FILE).read_bytes())
     verdict = result["verdict"]
     figures = "".join(
-        f"<tr><td>{html.escape(name)}</td><td>{_number(value)}</td></tr>"
+        f"<tr><td>{html.escape(name)}</td><td>{_format_figure(value)}</td></tr>"
         for name, value in sorted(verdict["figures"].items())
     )
     zone_head = "<tr><th>instance<th>zone<th>phase<th>why</tr>"
@@ -102,7 +102,7 @@
     )
 
 
-def _number(value: float | None) -> str:
+def _format_figure(value: float | None) -> str:
     if value is None or math.isnan(value):
         return "never"
     return f"{value:.3f}" if abs(value) < 100 else f"{value:.0f}"
--- a/tests/emulator/test_checker_recovery.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -190,14 +190,14 @@
 def test_clients_stay_in_their_zone_while_an_instance_of_it_is_up() -> None:
     load = Load([1, 2, 3, 4], 1.0, 1.0, [], [1, 1, 1, 1], "", 1, instance_zones=["a", "a", "b", "b"])
     clients = Clients(load, io.TextIOWrapper(io.BytesIO()))
-    assert {clients._instance("a") for _ in range(100)} == {0, 1}
-    assert {clients._instance("a", {1}) for _ in range(100)} == {0}
-    assert {clients._instance("a", {0, 1}) for _ in range(100)} == {2, 3}
-    assert {clients._instance("a", {0, 1, 2, 3}) for _ in range(100)} == {0, 1, 2, 3}
+    assert {clients._choose_instance("a") for _ in range(100)} == {0, 1}
+    assert {clients._choose_instance("a", {1}) for _ in range(100)} == {0}
+    assert {clients._choose_instance("a", {0, 1}) for _ in range(100)} == {2, 3}
+    assert {clients._choose_instance("a", {0, 1, 2, 3}) for _ in range(100)} == {0, 1, 2, 3}
     clients.failed_at = {0: -100.0}
-    assert {clients._instance("a") for _ in range(100)} == {1}
+    assert {clients._choose_instance("a") for _ in range(100)} == {1}
     clients.failed_at[1] = -100.0
-    assert {clients._instance("a") for _ in range(100)} == {2, 3}
+    assert {clients._choose_instance("a") for _ in range(100)} == {2, 3}
     assert {clients._data_set(n, "a") for n in range(70)} & {
         clients._data_set(n, "b") for n in range(70)
     } == set()
--- a/tests/emulator/test_power_losses.py
+++ b/tests/emulator/test_power_losses.py
@@ -11,12 +11,12 @@
 
 from cottonhold.emulator.fault_injection.event_log import LogLine
 from cottonhold.emulator.fault_injection.power_loss_tally import (
-    Tally,
+    LoadTally,
     observe_power_loss,
     timeline,
     unanswered,
 )
-from cottonhold.emulator.fault_injection.power_losses import PowerLossDraw, PowerLossMoment
+from cottonhold.emulator.fault_injection.power_losses import PowerLossGenerator, PowerLossMoment
 from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, WorkerPool
 
 POWER_LOSS_AT = 103.0
@@ -51,9 +51,9 @@
     }
 
 
-def tallied(logs: Logs) -> Tally:
+def tallied(logs: Logs) -> LoadTally:
     """Return the tally of all lines, with a power loss after those up to POWER_LOSS_AT."""
-    tally = Tally()
+    tally = LoadTally()
     for before in (True, False):
         for name, lines in logs.items():
             some = [line for line in lines if (line[0] <= POWER_LOSS_AT) == before]
@@ -116,10 +116,10 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_power_losses_are_drawn_alike_and_one_folder_is_wrong_at_a_time(seed: int) -> None:
-    power_losses = list(PowerLossDraw(seed, INSTANCES).power_losses(300))
-    assert power_losses == list(PowerLossDraw(seed, INSTANCES).power_losses(300))
+    power_losses = list(PowerLossGenerator(seed, INSTANCES).power_losses(300))
+    assert power_losses == list(PowerLossGenerator(seed, INSTANCES).power_losses(300))
     assert {power_loss.moment for power_loss in power_losses} == set(PowerLossMoment) and any(
-        power_loss.away for power_loss in power_losses
+        power_loss.absent for power_loss in power_losses
     )
     assert all(
         any(getattr(power_loss, what) for power_loss in power_losses)
@@ -131,9 +131,9 @@
             wrong_folder = ""
         now = [name for name in (power_loss.emptied, power_loss.restored, power_loss.backup) if name]
         assert len(now) + bool(wrong_folder) <= 1
-        assert sorted([*power_loss.order, *power_loss.away]) == list(INSTANCES)
+        assert sorted([*power_loss.order, *power_loss.absent]) == list(INSTANCES)
         wrong_folder = now[0] if now else wrong_folder
-        assert wrong_folder not in power_loss.away
+        assert wrong_folder not in power_loss.absent
 
 
 def test_a_program_of_the_worker_pool_runs_and_ends_with_it(tmp_path: Path) -> None:
