--- a/cottonhold/emulator/fault_injection/instance_config.py
+++ b/cottonhold/emulator/fault_injection/instance_config.py
@@ -65,7 +65,8 @@
         },
         "status_socket": f"{name}.sock",
     }
-    # Earlier versions of the program reject the keys below, so they are set only where a scenario needs them.
+    # Earlier versions of the program do not support the keys below, so that they can play only scenarios that
+    # need none of them.
     if scenario.has_state_folders:
         config["state_dir"] = str(state_folder)
         config["membership"]["voters"] = _voters(scenario)
--- a/cottonhold/emulator/fault_injection/projection_check.py
+++ b/cottonhold/emulator/fault_injection/projection_check.py
@@ -24,7 +24,7 @@
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.zone_distances import zone_of
 
-BASELINE_FROM_S = 2.0  # after the start of the load; the baseline is measured from then until the fault
+BASELINE_FROM_S = 2.0  # begin of the baseline, after the start of the load; it ends at the fault
 # One second after the fault, interrupted requests have been retried and the fleet has evacuated the zone. The
 # projection includes the work on cold data sets of the first five seconds.
 OBSERVED_FROM_S, OBSERVED_SPAN_S = 1.0, 5.0
--- a/cottonhold/emulator/fault_injection/utility_figures.py
+++ b/cottonhold/emulator/fault_injection/utility_figures.py
@@ -87,7 +87,7 @@
 def measure_utility(history: RunHistory, verdict: Verdict) -> None:
     """Measure the utility served against the most that the engines could serve.
 
-    That most is computed step by step, serving the classes with the highest utility per ms of work first.
+    The latter is computed step by step, serving the classes with the highest utility per ms of work first.
     """
     scenario = history.scenario
     offered, served = _reachable_requests(history)
