--- a/cottonhold/emulator/fault_injection/executions.py
+++ b/cottonhold/emulator/fault_injection/executions.py
@@ -1,8 +1,8 @@
-"""Rules about loads by what they are, across requests and instances: run once, one at a time on a key, in
-order. Pure.
+"""Checks rules about loads across requests and instances. Pure.
 
-A client that repeats a load sends another request id, maybe to another instance, so ids identify no load. Its
-statement does: by its key and its number.
+Each load runs once; loads on one key run one at a time and in order. A client that retries a load uses
+another request id and maybe another instance, so a load is identified by the key and the number in its
+statement.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     Verdict,
 )
 
-NEVER_RAN = ("overload", "nobody", "crashed")  # statuses that prove that nothing of a load was done
+NEVER_RAN = ("overload", "nobody", "crashed")  # engine statuses that mean that no part of the load has run
 
 
 @dataclass(slots=True)
-class LoadWork:
-    """One load: its client's attempts, and its executions in the order in which they began."""
+class LoadHistory:
+    """One load, with its client's attempts, and its executions in the order in which they began."""
 
     key: str
     number: int
@@ -34,20 +34,20 @@
 
     @property
     def notified_at(self) -> float:
-        """When its client had received the end of its last attempt."""
+        """When the client's last attempt ended; infinite without attempts."""
         return max((attempt.ended_at for attempt in self.attempts), default=math.inf)
 
     @property
     def requested_at(self) -> float:
-        """When its client made its first attempt."""
+        """When the client made its first attempt."""
         return min((attempt.started_at for attempt in self.attempts), default=-math.inf)
 
 
-def load_works(
+def load_histories(
     requests: Mapping[str, RequestLog], executions: Mapping[str, Sequence[Execution]]
-) -> list[LoadWork]:
-    """Return all loads that arrived at an engine. One that did not begin there is no execution."""
-    works: dict[tuple[str, int], LoadWork] = {}
+) -> list[LoadHistory]:
+    """Return all loads that arrived at an engine, with those of their executions that began."""
+    works: dict[tuple[str, int], LoadHistory] = {}
     attempts: dict[int, list[RequestLog]] = defaultdict(list)
     for request in requests.values():
         attempts[request.client].append(request)
@@ -56,7 +56,7 @@
             if not execution.key:
                 continue
             identity = execution.key, execution.load_number
-            work = works.setdefault(identity, LoadWork(*identity))
+            work = works.setdefault(identity, LoadHistory(*identity))
             if not work.attempts and request_id in requests:
                 work.attempts = attempts[requests[request_id].client]
             if execution.began_at < math.inf:
@@ -67,9 +67,12 @@
 
 
 def check_executions(history: RunHistory, verdict: Verdict) -> None:
-    """Each load is run once. Where the scenario says so, also: one of a key at a time over all instances, and
-    one that was requested after another's end was known begins after it."""
-    works = load_works(history.requests, history.executions)
+    """Check that each load ran once and, if the scenario orders loads across instances, in order.
+
+    In order means that loads on one key run one at a time, and that a load which was requested after the
+    client of another load had received its end begins after that load.
+    """
+    works = load_histories(history.requests, history.executions)
     _check_duplicates(works, verdict)
     _count_retries(history, verdict)
     findings = _overlaps(works) + _reversals(works)
@@ -78,11 +81,11 @@
         verdict.findings += findings
 
 
-def _check_duplicates(works: Sequence[LoadWork], verdict: Verdict) -> None:
+def _check_duplicates(works: Sequence[LoadHistory], verdict: Verdict) -> None:
     duplicates = [work for work in works if len(work.executions) > 1]
     for work in duplicates:
         where = ", ".join(f"{e.engine} ({e.end or 'open'})" for e in work.executions)
-        verdict.findings.append(f"twice: load {work.number} on {work.key} was run by {where}")
+        verdict.findings.append(f"twice: load {work.number} on {work.key} ran at {where}")
     verdict.figures["loads"] = float(len(works))
     verdict.figures["loads_run_twice"] = float(len(duplicates))
 
@@ -102,9 +105,9 @@
     verdict.figures["loads_sent_again"] = float(sum(len(sends) > 1 for sends in may_have_run.values()))
 
 
-def _executions_by_key(works: Sequence[LoadWork]) -> dict[str, list[tuple[Execution, LoadWork]]]:
+def _executions_by_key(works: Sequence[LoadHistory]) -> dict[str, list[tuple[Execution, LoadHistory]]]:
     """Return the executions of each key with their loads, in the order in which they began."""
-    by_key: dict[str, list[tuple[Execution, LoadWork]]] = defaultdict(list)
+    by_key: dict[str, list[tuple[Execution, LoadHistory]]] = defaultdict(list)
     for work in works:
         by_key[work.key] += [(execution, work) for execution in work.executions]
     for rows in by_key.values():
@@ -112,11 +115,11 @@
     return by_key
 
 
-def _overlaps(works: Sequence[LoadWork]) -> list[str]:
+def _overlaps(works: Sequence[LoadHistory]) -> list[str]:
     """Return a finding for each execution that began while another load of its key ran."""
     findings = []
     for key, rows in _executions_by_key(works).items():
-        last: tuple[Execution, LoadWork] | None = None  # of those that began, the one that ends last
+        last: tuple[Execution, LoadHistory] | None = None  # the one that ends last of those that began
         for execution, work in rows:
             if last is not None and last[1] is not work and execution.began_at < last[0].ended_at:
                 where = f"{last[0].engine} and {execution.engine}"
@@ -128,17 +131,16 @@
     return findings
 
 
-def _reversals(works: Sequence[LoadWork]) -> list[str]:
-    """Return a finding for each load that began after one of its key which was requested when the former's
-    end was known."""
+def _reversals(works: Sequence[LoadHistory]) -> list[str]:
+    """Return a finding for each load that began after a load of its key that was requested after its end."""
     findings = []
     for key, rows in _executions_by_key(works).items():
-        last: LoadWork | None = None  # of those that have begun, the one that was requested last
+        last: LoadHistory | None = None  # the one that was requested last of those that began
         for _, work in rows:
             if last is not None and work.notified_at < last.requested_at:
                 findings.append(
                     f"order: load {work.number} on {key} began after load {last.number}, "
-                    "which was asked for when it had ended"
+                    "which was requested after it had ended"
                 )
             if last is None or work.requested_at > last.requested_at:
                 last = work
--- a/tests/emulator/test_checker_recovery.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -1,5 +1,6 @@
-"""Figures of a recovery from a power loss and of service in another zone, from hand-written logs; and
-what they depend on: data sets of an engine, delays between zones, clients that belong to a zone.
+"""Figures about a recovery from a power loss and about service in another zone, from constructed logs.
+
+Also tests what these figures depend on: data sets of an engine, delays between zones, clients with a zone.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from cottonhold.emulator.fault_injection.links import NetworkPath
 from cottonhold.emulator.fault_injection.recovery_quality import possible_utility
 from cottonhold.emulator.fault_injection.recovery_scenarios import repeated_power_losses
-from cottonhold.emulator.fault_injection.scenarios import BY_NAME, SCENARIOS, SHORT
+from cottonhold.emulator.fault_injection.scenarios import BY_NAME, SCENARIOS, SHORT_SCENARIOS
 from cottonhold.emulator.fault_injection.script import Scenario, ScriptError, check_scenario
 from cottonhold.emulator.fault_injection.zone_distances import distance_ms
 
@@ -48,10 +49,11 @@
 
 
 def recovery_logs(served: Callable[[int, int, int], bool]) -> RunLogs:
-    """Return logs of twenty requests per second at each instance, served by its zone's engine or rejected.
+    """Return logs with twenty requests a second at each instance.
 
     Args:
-        served: Whether a request is served, by second, instance and number in that second.
+        served: Returns whether the engine of the instance's zone serves a request, by the second, the
+            instance and the number of the request; others are refused.
     """
     engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
     clients, client = list[LogLine](), 0
@@ -80,11 +82,11 @@
     assert figures["return_0s"] == pytest.approx(0.25) and figures["return_1s"] == 1.0
     assert figures["return_first_3s"] == pytest.approx(0.75) and figures["return_warm"] == 1.0
     assert figures["return_refused"] == 30 and figures["unlike_return"] == figures["unlike_second"] == 0.0
-    assert "return_8s" not in figures, "it is after the day's end"
+    assert "return_8s" not in figures, "it is after the end of the scenario"
 
 
 def test_possible_utility_counts_requests_that_can_wait() -> None:
-    """Two steps have twenty requests of 10 ms each; the engines are up from the second step on."""
+    """Twenty requests of 10 ms in each of two steps; the engines have capacity from the second step on."""
     requests = {str(n): RequestLog(100.0 + BIN_S * (n % 2), "cheap", 0, 0, n, 1000.0) for n in range(40)}
     logs = RunLogs({}, [], 100.0)
     assert possible_utility(RECOVERY, logs, requests, [0.0, 1000.0, 0.0]) == [20.0, 20.0, 0.0]
@@ -93,7 +95,7 @@
 
 
 def test_instances_that_treat_equal_requests_differently_are_measured() -> None:
-    """Half of the requests at n1 are rejected in one second of the return, and none at n0."""
+    """Half of the requests at n1 are refused in one second of the recovery, none at n0."""
     figures = check_run(
         RECOVERY, recovery_logs(lambda second, i, n: not (second == 3 and i == 1 and n % 2))
     ).figures
@@ -103,7 +105,7 @@
 
 
 def test_an_instance_that_started_late_is_not_compared_with_earlier_service() -> None:
-    """n1 starts only at 4 s, and all requests are rejected until then."""
+    """n1 runs only from 4 s on, and n0 refuses all requests until then."""
     logs = recovery_logs(lambda second, i, n: second >= 4)
     early = {line[2] for line in logs.clients if line[1] == "ask" and line[4] == 1 and line[0] < 104.0}
     for line in logs.clients:
@@ -124,10 +126,10 @@
 
 
 def test_utility_relative_to_another_run() -> None:
-    whole, half = (
+    full, half = (
         check_run(RECOVERY, recovery_logs(s)) for s in (lambda *_: True, lambda s, i, n: n % 2 == 0)
     )
-    assert relative_utility(half, whole) == pytest.approx(0.5) and relative_utility(whole, whole) == 1.0
+    assert relative_utility(half, full) == pytest.approx(0.5) and relative_utility(full, full) == 1.0
 
 
 def test_service_in_another_zone_costs_latency_and_cold_work() -> None:
@@ -180,22 +182,22 @@
 
 
 def test_zone_distances_are_symmetric() -> None:
-    far = {"a-b": 3.0}
-    assert distance_ms(far, "a", "b") == distance_ms(far, "b", "a") == 3.0
-    assert distance_ms(far, "a", "a") == distance_ms(far, "a", "c") == 0.0
+    distances = {"a-b": 3.0}
+    assert distance_ms(distances, "a", "b") == distance_ms(distances, "b", "a") == 3.0
+    assert distance_ms(distances, "a", "a") == distance_ms(distances, "a", "c") == 0.0
 
 
 def test_clients_stay_in_their_zone_while_an_instance_of_it_is_up() -> None:
     load = Load([1, 2, 3, 4], 1.0, 1.0, [], [1, 1, 1, 1], "", 1, instance_zones=["a", "a", "b", "b"])
     clients = Clients(load, io.TextIOWrapper(io.BytesIO()))
-    assert {clients._instance("a") for _ in range(100)} == {0, 1}
-    assert {clients._instance("a", {1}) for _ in range(100)} == {0}
-    assert {clients._instance("a", {0, 1}) for _ in range(100)} == {2, 3}
-    assert {clients._instance("a", {0, 1, 2, 3}) for _ in range(100)} == {0, 1, 2, 3}
+    assert {clients._choose_instance("a") for _ in range(100)} == {0, 1}
+    assert {clients._choose_instance("a", {1}) for _ in range(100)} == {0}
+    assert {clients._choose_instance("a", {0, 1}) for _ in range(100)} == {2, 3}
+    assert {clients._choose_instance("a", {0, 1, 2, 3}) for _ in range(100)} == {0, 1, 2, 3}
     clients.failed_at = {0: -100.0}
-    assert {clients._instance("a") for _ in range(100)} == {1}
+    assert {clients._choose_instance("a") for _ in range(100)} == {1}
     clients.failed_at[1] = -100.0
-    assert {clients._instance("a") for _ in range(100)} == {2, 3}
+    assert {clients._choose_instance("a") for _ in range(100)} == {2, 3}
     assert {clients._data_set(n, "a") for n in range(70)} & {
         clients._data_set(n, "b") for n in range(70)
     } == set()
@@ -208,9 +210,9 @@
 
 
 def test_nothing_is_started_without_power() -> None:
-    cuts = (9.5, 12.0, 14.5)
-    for fault in repeated_power_losses(*cuts):
-        assert fault.verb == "power" or not any(cut <= fault.at_s < cut + 1.0 for cut in cuts), str(fault)
+    times_s = (9.5, 12.0, 14.5)
+    for fault in repeated_power_losses(*times_s):
+        assert fault.verb == "power" or not any(at <= fault.at_s < at + 1.0 for at in times_s), str(fault)
 
 
 def test_every_scenario_is_valid_and_its_settings_are_json() -> None:
@@ -226,7 +228,9 @@
 
 
 def test_the_short_set_stays_short() -> None:
-    assert sum(BY_NAME[name].duration_s for name in SHORT) < 40.0, "with starts and patience: two minutes"
+    assert sum(BY_NAME[name].duration_s for name in SHORT_SCENARIOS) < 40.0, (
+        "with starts and the patience of clients they take two minutes"
+    )
 
 
 def test_a_summary_has_only_columns_that_some_run_has() -> None:
@@ -249,13 +253,13 @@
 def test_a_cold_engine_tolerates_more_work_as_it_warms_up(
     age: float, work: float, is_overloaded: bool
 ) -> None:
-    """The engine is three times slower at first, warm after 3 s, and tolerates 1000 ms of work when cold."""
+    """The engine is three times slower at first and linearly faster until 3 s; its first limit is 1000 ms."""
     traits = EngineTraits(
         cold_slowdown=3.0, warm_after_ms=3000.0, overload_work_ms=1000.0, overload_window_ms=1500.0
     )
     engine = FaultyEngine("a0", io.TextIOWrapper(io.BytesIO()), traits, 1)
     engine.started_at -= age
-    assert engine._overloads(work) is is_overloaded
+    assert engine._is_overloaded_by(work) is is_overloaded
 
 
 @pytest.mark.parametrize("is_closed", [False, True])
