--- a/benchmarks/fleet/outlook.py
+++ b/benchmarks/fleet/outlook.py
@@ -1,10 +1,11 @@
-"""Holds the cost estimator's projections against what then happens, in virtual time; writes
-docs/measurements/outlook-core.md:
+"""Compares the cost estimator's projections with what then happens in a model, in virtual time.
+
+Writes docs/measurements/outlook-core.md:
 
 python benchmarks/fleet/outlook.py [--seeds 20]
 
-With `--service WHO` it runs the scenarios with the fleet's core deciding, as in service, and prints rows for
-docs/measurements/outlook.md.
+With `--service MODE` the scenarios run with the fleet's coordinator deciding, as in service, and rows for
+docs/measurements/outlook.md are printed.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 NOTICED_AT = FAULT_AT + 500.0
 WINDOW_END = NOTICED_AT + 5000.0
 CALM_BEGIN = 3000.0
-SETTLING_MS = 1500.0  # after which requests that the fault broke have been retried
+SETTLING_MS = 1500.0  # by then requests that failed because of the fault have been retried
 MIN_MOVED_CORES = 0.02
 CACHED_DATA_SETS = 10
 EVEN_RATES, UNEVEN_RATES = (140.0, 140.0, 140.0), (80.0, 100.0, 240.0)
@@ -62,14 +63,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """A fault.
+    """A fault and the load during it.
 
-    rates: requests a second, by zone. ill_zone_speed: of the zone's engines; 0: engines are lost. remaining:
-    what is left of which zone.
+    Attributes:
+        rates: Requests per second, by zone.
+        ill_zone_speed: Speed of the faulty zone's engines as a part of the usual one; 0 if engines are lost.
+        remaining: The part of each affected zone's capacity that remains.
     """
 
     rates: tuple[float, ...]
-    ill_zone_speed: float
+    faulty_zone_speed: float
     remaining: Mapping[str, float]
 
 
@@ -83,9 +86,12 @@
 SETTINGS = CostEstimatorSettings(
     snapshot_interval_ms=3000.0, cost=CostSettings(cached_data_sets=CACHED_DATA_SETS)
 )
-# Settings of the estimator by who decides in service. today: no estimator. kept: it says what an ill zone
-# retains. guests: and which zones serve whose clients while something is out. calm: also while nothing is.
-DECIDERS: dict[str, dict[str, Any]] = {
+# Settings of the estimator for each mode of `--service`:
+# today   No estimator.
+# kept    The estimator decides which share of its load a faulty zone retains.
+# guests  It also limits cross-zone work while capacity is missing.
+# calm    It limits cross-zone work at all times.
+SERVICE_MODES: dict[str, dict[str, Any]] = {
     "today": {},
     "kept": {"cross_zone": None},
     "guests": {},
@@ -101,7 +107,7 @@
     claim_factor: float = 1.0,
     cached_data_sets: int = CACHED_DATA_SETS,
 ) -> Figures:
-    """Run a scenario: what was projected shortly before the fault, and what happened."""
+    """Run a scenario; return what was projected shortly before the fault and what then happened."""
     scenario = SCENARIOS[name]
     settings = replace(SETTINGS, cost=CostSettings(cached_data_sets=cached_data_sets))
     setup = OutageSetup(
@@ -116,7 +122,7 @@
     world.claim_factors[5] = claim_factor
     world.run(PROJECTED_AT)
     figures: Figures = {}
-    speed = scenario.ill_zone_speed
+    speed = scenario.faulty_zone_speed
     if decides == "outlook":
         estimator = world.instances[seed % 5].estimator
         retained = estimator.retained_share(PROJECTED_AT, "b", speed) if speed else None
@@ -125,7 +131,7 @@
         assert projection is not None
         figures = projected_figures(projection) | {"warm": projection.warm_ms}
     world.run(FAULT_AT)
-    set_fault(world, scenario)
+    inject_fault(world, scenario)
     world.run(NOTICED_AT)
     if speed:
         world.evacuate(NOTICED_AT, "b", speed)
@@ -135,23 +141,28 @@
     return figures | counted_figures(world)
 
 
-def run_in_service(name: str, seed: int, decider: str) -> Figures:
-    """Run a scenario with the core deciding: what was projected shortly before, and what happened."""
+def run_in_service(name: str, seed: int, service_mode: str) -> Figures:
+    """Run a scenario with the coordinator deciding; return what was projected shortly before the fault and
+    what then happened."""
     scenario = SCENARIOS[name]
     setup = OutageSetup(
         dict(zip(ZONES, scenario.rates, strict=True)),
         ROUND_TRIPS_MS,
-        decides="today" if decider == "today" else "outlook",
+        decides="today" if service_mode == "today" else "outlook",
         cached_data_sets=CACHED_DATA_SETS,
-        settings=replace(SETTINGS, snapshot_interval_ms=1000.0, **DECIDERS[decider]),
+        settings=replace(SETTINGS, snapshot_interval_ms=1000.0, **SERVICE_MODES[service_mode]),
     )
     world = ServiceWorld(seed, setup)
     world.run(PROJECTED_AT)
-    lost_zones = [zone for zone, share in scenario.remaining.items() if share <= 0]
+    zones_without_capacity = [zone for zone, share in scenario.remaining.items() if share <= 0]
     estimator = world.instances[seed % 5].estimator
-    projection = estimator.projection(*lost_zones) if lost_zones and decider != "today" else None
+    projection = (
+        estimator.projection(*zones_without_capacity)
+        if zones_without_capacity and service_mode != "today"
+        else None
+    )
     world.run(FAULT_AT)
-    set_fault(world, scenario)
+    inject_fault(world, scenario)
     world.run(END)
     figures = {"served in calm": world.log.served_share(CALM_BEGIN, PROJECTED_AT)}
     if projection is not None:
@@ -159,18 +170,18 @@
     return figures | counted_figures(world)
 
 
-def set_fault(world: OutageWorld, scenario: Scenario) -> None:
-    """Begin a scenario's fault; nobody is told of it."""
+def inject_fault(world: OutageWorld, scenario: Scenario) -> None:
+    """Begin a scenario's fault without announcing it to the instances."""
     for zone, share in scenario.remaining.items():
-        if scenario.ill_zone_speed:
-            world.slow_zone(zone, scenario.ill_zone_speed)
+        if scenario.faulty_zone_speed:
+            world.slow_zone(zone, scenario.faulty_zone_speed)
         else:
             count = None if share == 0.0 else round((1 - share) * world.setup.engines)
             world.lose_engines(zone, count)
 
 
 def projected_figures(projection: Projection) -> Figures:
-    """What was projected."""
+    """Return the projected figures."""
     return {
         "worth": projection.served_share(),
         "added": projection.added_round_trip_ms,
@@ -179,7 +190,7 @@
 
 
 def counted_figures(world: OutageWorld) -> Figures:
-    """What happened, as the model counts it."""
+    """Return the figures that the model counted."""
     log = world.log
     calm_flows, flows = log.flows(CALM_BEGIN, FAULT_AT), log.flows(NOTICED_AT, WINDOW_END)
     moved_cores = added_ms = 0.0
@@ -200,23 +211,23 @@
     }
 
 
-def print_service_rows(decider: str, seeds: Iterable[int]) -> None:
-    """Print a row for each scenario in service."""
+def print_service_rows(service_mode: str, seeds: Iterable[int]) -> None:
+    """Run all scenarios with the coordinator deciding and print a row for each."""
     for name in SCENARIOS:
-        runs = [run_in_service(name, seed, decider) for seed in seeds]
+        runs = [run_in_service(name, seed, service_mode) for seed in seeds]
         medians = {key: statistics.median(run[key] for run in runs) for key in runs[0]}
         cells = " | ".join(f"{key} {value:.3f}" for key, value in medians.items())
         worst = min(run["all"] for run in runs)
-        print(f"| {name} | {decider} | {cells} | worst {worst:.3f} |", flush=True)
+        print(f"| {name} | {service_mode} | {cells} | worst {worst:.3f} |", flush=True)
 
 
 def relative_error(projected: float, counted: float) -> float:
-    """How far a projected value is off, as a part of the counted one."""
+    """Return the error of a projected value as a part of the counted one."""
     return abs(projected - counted) / max(abs(counted), 1e-9)
 
 
 def projection_table(title: str, runs: Mapping[str, list[Figures]]) -> list[str]:
-    """Projected against counted values, by scenario."""
+    """Return a table of projected and counted values by scenario."""
     rows = [
         f"| {title} | worth told / came | off | added ms told / came | off | extra cores told / came | off |",
         "| --- | --- | --- | --- | --- | --- | --- |",
@@ -237,14 +248,15 @@
 def comparison_table(
     with_estimator: dict[str, list[Figures]], without: dict[str, list[Figures]]
 ) -> list[str]:
-    """Utility served from the fault on, and round trips, by who decides."""
+    """Return a table of utility served from the fault on and of round trips, with and without the
+    estimator."""
     rows = [
         "| day | outlook | today | outlook better in | round trip in calm, ms | while out, ms |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
     for name in SCENARIOS:
         both = with_estimator[name], without[name]
-        better = sum(ours["all"] > theirs["all"] for ours, theirs in zip(*both, strict=True))
+        better = sum(with_it["all"] > without_it["all"] for with_it, without_it in zip(*both, strict=True))
         shares = [
             f"{statistics.median(run['all'] for run in runs):.3f} / {min(run['all'] for run in runs):.3f}"
             for runs in both
@@ -259,7 +271,7 @@
 
 
 def page(seeds: range) -> str:
-    """Run all in the model; return the page's text."""
+    """Run all scenarios in the model and return the page's text."""
     few_seeds = list(seeds)[: math.ceil(len(seeds) / 4)]
     runs = {
         decides: {name: [run_model(name, seed, decides) for seed in seeds] for name in SCENARIOS}
@@ -288,10 +300,10 @@
 
 
 def main() -> None:
-    """Run and write the page, or print rows."""
+    """Write the page, or print the rows of one mode of `--service`."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
-    parser.add_argument("--service", choices=DECIDERS)
+    parser.add_argument("--service", choices=SERVICE_MODES)
     arguments = parser.parse_args()
     seeds = range(1, arguments.seeds + 1)
     if arguments.service:
--- a/benchmarks/fleet/overload.py
+++ b/benchmarks/fleet/overload.py
@@ -1,4 +1,4 @@
-"""Compares in virtual time who sheds what, and writes docs/measurements/overload-core.md:
+"""Compares admission policies under overload, in virtual time; writes docs/measurements/overload-core.md:
 
 python benchmarks/fleet/overload.py [--seeds 20] [--jobs 6]
 """
@@ -33,10 +33,11 @@
 WEIGHTS = (1, 1, 1, 2, 3, 4)
 LOADS, SPEEDS = (1.0, 1.2, 1.5, 2.0, 3.0, 5.0), (1.0, 0.8)
 BEGIN, END = 6000.0, 18_000.0
-ENGINES, CAPACITY = 9, 450.0  # requests a second of all engines
+# Number of engines, and their total capacity in requests per second.
+ENGINES, CAPACITY = 9, 450.0
 OUTAGE_RATE, OUTAGE_BEGIN, OUTAGE_END = 380.0, 5000.0, 12_000.0
 WAVE_MS, WAVE_LOADS = 4000, (0.7, 3.0)
-# Fields of `make_world`.
+# Arguments of `make_world` for each case.
 CASES: dict[str, dict[str, Any]] = {
     "calm": {"load": 0.7},
     "twice": {"load": 2.0},
@@ -63,7 +64,18 @@
     is_partitioned: bool = False,
     **options: Any,
 ) -> Overload:
-    """A world at its start. load: as a part of the capacity; 0: in waves. options: of Overload."""
+    """Return a model, not yet run.
+
+    Args:
+        seed: Seed of the random generator.
+        make_policy: Returns the admission policy of an instance, by its number.
+        load: Request rate as a part of the capacity; 0 for alternating low and high load.
+        engines: Number of engines.
+        weights: Relative request rate of each instance.
+        claim_factor: Factor by which the first instance overstates its demand.
+        is_partitioned: Whether demand reports between the two halves of the instances are lost.
+        options: Further arguments of `Overload`.
+    """
     capacity: float = CAPACITY * engines / ENGINES
 
     def rate(now: float) -> float:
@@ -78,21 +90,26 @@
 
 
 def measure(job: tuple[int, str, dict[str, Any]]) -> Figures:
-    """Run a world of a seed, policy and fields.
+    """Run a model.
+
+    Args:
+        job: The seed, the policy's name and arguments of `make_world`.
 
-    Returns the share of the possible utility; the greatest difference between instances in the share of
-    dear and of cheap attempts served; sends by request served; bytes a second and instance.
+    Returns:
+        The share of the greatest possible utility that was served, the largest difference between instances
+        in the share of attempts served of the more and of the less valuable class, the attempts sent to
+        engines for each request served, and the bytes that each instance sent per second.
     """
-    seed, policy, fields = job
+    seed, policy, case_arguments = job
     options: dict[str, Any] = {"settings": NO_GAIN} if policy == SHARED_WITHOUT_GAIN else {}
-    world = make_world(seed, POLICIES[policy], **fields, **options)
+    world = make_world(seed, POLICIES[policy], **case_arguments, **options)
     world.run(END)
     served_utility, possible_utility = world.utility(BEGIN, END)
     shares = world.served_shares(BEGIN, END)
     differences = []
     for class_number in (1, 0):
-        of_class = [share for (_, c), share in shares.items() if c == class_number]
-        differences.append(max(of_class) - min(of_class) if of_class else 0.0)
+        class_shares = [share for (_, c), share in shares.items() if c == class_number]
+        differences.append(max(class_shares) - min(class_shares) if class_shares else 0.0)
     events = [entry.event for entry in world.log]
     sends = events.count(RequestEvent.SENT) / max(events.count(RequestEvent.SERVED), 1)
     bytes_per_second = world.sent_bytes / len(world.instances) / (END / 1000)
@@ -100,10 +117,14 @@
 
 
 def measure_outage(job: tuple[int, bool]) -> Figures:
-    """Run a world of a seed in which two of three zones are out.
+    """Run a model in which two of three zones are out for a while.
+
+    Args:
+        job: The seed, and whether clients mark retries.
 
-    Returns the share of the possible utility meanwhile; the same in the third after they are back, from the
-    second second on; the seconds until the last rejection.
+    Returns:
+        The share of the greatest possible utility served during the outage, without its first two seconds;
+        the same from one to four seconds after its end; the seconds from its end to the last rejection.
     """
     seed, marks_retries = job
     world = Overload(
@@ -129,7 +150,7 @@
 
 
 class Page:
-    """The lines of the page, printed as they are added."""
+    """Collects the lines of the page; rows are printed as they are added."""
 
     def __init__(self, seeds: int) -> None:
         self.lines = [
@@ -144,12 +165,12 @@
         ]
 
     def add_table(self, heading: str, *columns: str) -> None:
-        """Begin a table."""
+        """Add the header of a table."""
         self.lines += ["", heading, ""] if heading else []
         self.lines += [f"| {' | '.join(columns)} |", "| --- " * len(columns) + "|"]
 
     def add_row(self, labels: list[str], runs: Iterable[Figures]) -> None:
-        """Add a row: of the first figure the median and the worst run, of the others the median."""
+        """Add a row: the median and the worst run of the first figure, the medians of the others."""
         figures = np.array(list(runs))
         utility = f"{np.median(figures[:, 0]):.3f} / {min(figures[:, 0]):.3f}"
         medians = [f"{np.median(figures[:, i]):.2f}" for i in range(1, figures.shape[1])]
@@ -157,12 +178,12 @@
         print(self.lines[-1], flush=True)
 
     def write(self) -> None:
-        """Write the page."""
+        """Write the page to its file."""
         OUTPUT.write_text("\n".join([*self.lines, ""]))
 
 
 def compare_policies(page: Page, pool: PoolType, seeds: range) -> None:
-    """A table of all policies at all loads and speeds."""
+    """Add a table of all policies at all loads and engine speeds."""
     page.add_table(
         "",
         "load",
@@ -182,7 +203,7 @@
 
 
 def main() -> None:
-    """Run all, and write the page."""
+    """Run all cases and write the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--jobs", type=int, default=6)
@@ -199,8 +220,8 @@
             "sends for one served",
             "bytes a second",
         )
-        for case, fields in CASES.items():
-            page.add_row([case], pool.map(measure, [(seed, SHARED, fields) for seed in seeds], 1))
+        for case, case_arguments in CASES.items():
+            page.add_row([case], pool.map(measure, [(seed, SHARED, case_arguments) for seed in seeds], 1))
         page.add_table(
             "Two of three zones gone for 7 s at 0.84 of the capacity of all:",
             "clients",
--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -1,5 +1,6 @@
-"""Compares in virtual time the return from a power loss without and with a ramp of all, and prints the
-rows of docs/measurements/power-loss-core.md:
+"""Simulates recovery from a power loss without and with fleet-wide slow start, in virtual time.
+
+Prints the rows of docs/measurements/power-loss-core.md:
 
 python benchmarks/fleet/recovery.py [--seeds 20] [--sizes 5,50,500] [--cases "zone"] [--jobs 2]
 """
@@ -24,26 +25,39 @@
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.settings import FleetSettings
 
-USUAL_LOAD = 0.6  # of what warm engines do
-ENGINES = {5: 9, 50: 75, 500: 150}  # by number of instances
+USUAL_LOAD = 0.6  # as a share of the capacity of warm engines
+ENGINE_COUNTS = {5: 9, 50: 75, 500: 150}  # by number of instances
 MANY_INSTANCES = 50
 RUN_MS = 9000.0
-SLOT_MS, GROUPS = 500.0, 5  # requests are compared within slots, instances in groups by order of start
+# Requests are compared with those that arrived in the same time slot, instances by groups in order of start.
+SLOT_MS, GROUPS = 500.0, 5
 SHUFFLES = 20
-MIN_IN_GROUP, MIN_IN_GROUPS = 10, 50  # requests of a class, in one run and in all
+# Least number of requests of a class for which a group is compared, in one run and over all runs.
+MIN_GROUP_REQUESTS_PER_RUN, MIN_GROUP_REQUESTS_OVER_RUNS = 10, 50
 WEIGHTS = (1.0, 1.0, 1.0, 2.0, 3.0)
-BEFORE, WITH_RAMP = "before", "ramp"
+WITHOUT_RAMP, WITH_RAMP = "before", "ramp"
 
-Attempts = dict[tuple[int, int], list[float]]  # by group and class: requests, and how many more were served
-Slots = dict[int, list[tuple[int, bool]]]  # requests by slot: the group, and whether it was served
+# By group and class: the number of requests, and how many more of them were served than the mean of their
+# slots.
+Attempts = dict[tuple[int, int], list[float]]
+Slots = dict[int, list[tuple[int, bool]]]  # by slot: each request's group, and whether it was served
 
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """How power returns.
-
-    engines_after_ms: engines after the instances, negative if before. instances_within_ms: from the first
-    instance to the last. second_half_delay_ms: how much later half of them return. load: of the usual.
+    """A way in which power returns; times are in ms.
+
+    Attributes:
+        name: The name in the table.
+        engines_after_ms: Time from the return of the instances to that of the engines; negative if the
+            engines return first.
+        instances_within_ms: Time from the return of the first instance to that of the last.
+        second_half_delay_ms: Additional delay of the second half of the instances.
+        load: Request rate as a multiple of the usual one.
+        until: Time at which the run ends.
+        options: Further arguments of `PowerReturn`.
+        second_loss_at: Time of a second power loss; None for none.
+        is_skewed: Whether clients send more requests to some instances than to others.
     """
 
     name: str
@@ -52,7 +66,7 @@
     second_half_delay_ms: float = 0.0
     load: float = 1.0
     until: float = RUN_MS
-    options: dict[str, Any] = field(default_factory=dict)  # of PowerReturn
+    options: dict[str, Any] = field(default_factory=dict)
     second_loss_at: float | None = None
     is_skewed: bool = False
 
@@ -72,12 +86,24 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What one run showed.
-
-    second_shares: utility of what was possible, by second after the return. arrived_share: in the first
-    three seconds, of what arrived. possible_share, permitted_share: in the first four, of what engines could
-    do, and of what slow start permitted. warm_share: once engines are warm. group_excess: of
-    `excess_difference`.
+    """The measurements of one run.
+
+    Shares are utility served as a part of another utility; times count from the return of both engines and
+    instances.
+
+    Attributes:
+        second_shares: Of the greatest possible utility, for each of the first five seconds.
+        arrived_share: Of the utility that arrived, in the first three seconds.
+        possible_share: Of the greatest possible utility, in the first four seconds.
+        permitted_share: Of the greatest utility that slow start permitted, in the first four seconds.
+        warm_share: The result of `warm_share`.
+        attempts: The result of `group_attempts`.
+        group_excess: The result of `excess_difference`.
+        bound_violations: Number of checks in which the bounds on an engine's work exceeded its slow-start
+            share.
+        bound_checks: Number of these checks.
+        engine_failures: Number of times that a cold engine would have failed under the work sent to it.
+        bytes_per_second: Bytes that each instance sent per second.
     """
 
     second_shares: list[float]
@@ -94,7 +120,7 @@
 
 
 def make_world(case: Case, instances: int, seed: int, has_slow_start: bool) -> PowerReturn:
-    """A world of a case at its start."""
+    """Return the model of a case, not yet run."""
     interval_ms, half = case.instances_within_ms / max(instances - 1, 1), instances // 2
 
     def instance_delay_ms(number: int) -> float:
@@ -108,18 +134,18 @@
     )
     slow_start = SlowStartSettings() if has_slow_start else None
     settings = FleetSettings(dispatchers=instances, sheds_load=True, slow_start=slow_start)
-    engines = ENGINES[instances]
+    engines = ENGINE_COUNTS[instances]
     rate = case.load * USUAL_LOAD * engines * 1000 / MEAN_WORK_MS
     weights = [WEIGHTS[i % len(WEIGHTS)] for i in range(instances)] if case.is_skewed else ()
     return PowerReturn(seed, rate, instances, engines, plan, settings, weights=weights, **case.options)
 
 
 def measure(case: Case, instances: int, seed: int, has_slow_start: bool) -> RunResult:
-    """Run a case."""
+    """Run a case once and return its measurements."""
     world = make_world(case, instances, seed, has_slow_start)
     world.run(case.until)
     power_at = world.plan.power_returned_at(case.until)
-    returned_at = power_at + abs(case.engines_after_ms)  # of both engines and instances
+    returned_at = power_at + abs(case.engines_after_ms)  # both engines and instances
     warm_at = power_at + max(case.engines_after_ms, 0.0) + world.plan.warmup_ms + 1000.0
     ends = [returned_at + 1000.0 * second for second in range(6)]
     possible = [world.possible_utility(power_at, end) for end in ends]
@@ -147,9 +173,10 @@
 
 
 def warm_share(world: PowerReturn, warm_at: float) -> float:
-    """Utility served in the two seconds after engines are warm, of what arrived or was possible."""
+    """Return the utility served in the two seconds after engines are warm, as a part of what arrived or of
+    what was possible, whichever is less."""
     end = warm_at + 2000.0
-    begin_of_estimate = warm_at - 2000.0  # what was queued by then counts as well
+    begin_of_estimate = warm_at - 2000.0  # so that requests queued before are included
     possible = world.possible_utility(begin_of_estimate, end)
     possible -= world.possible_utility(begin_of_estimate, warm_at)
     expected = min(world.arrived_utility(warm_at, end), possible)
@@ -157,12 +184,13 @@
 
 
 def group_of(world: PowerReturn, instance: int) -> int:
-    """The group of an instance, in the order of start."""
+    """Return the group of an instance; groups follow the order of start."""
     return instance * GROUPS // len(world.running)
 
 
 def group_attempts(world: PowerReturn, begin: float, end: float) -> Attempts:
-    """Requests by group and class, and how many more of them were served than of all in the same slot."""
+    """Return, by group and class, the number of requests and how many more of them were served than the mean
+    of their slots."""
     slot_counts: dict[tuple[int, int], list[int]] = defaultdict(lambda: [0, 0])
     requests = [request for request in world.finished if begin <= request.arrived_at < end]
     for request in requests:
@@ -179,9 +207,9 @@
 
 
 def excess_difference(world: PowerReturn, begin: float, end: float) -> float:
-    """The largest difference between groups, over classes, beyond chance.
+    """Return the largest difference between groups of any class, less the difference expected by chance.
 
-    Chance: the mean of what the same results give where they are dealt out anew among the requests of a slot.
+    The difference by chance is the mean over permutations of the results among the requests of each slot.
     """
     draw, worst = random.Random(1), 0.0
     for class_number in range(len(REQUEST_CLASSES)):
@@ -190,13 +218,13 @@
             if begin <= request.arrived_at < end and request.class_number == class_number:
                 entry = group_of(world, request.instance), request.is_in_time
                 slots[int(request.arrived_at // SLOT_MS)].append(entry)
-        by_chance = [_difference(_shuffled(slots, draw)) for _ in range(SHUFFLES)]
-        worst = max(worst, _difference(slots) - sum(by_chance) / SHUFFLES)
+        chance_differences = [_difference(_shuffled(slots, draw)) for _ in range(SHUFFLES)]
+        worst = max(worst, _difference(slots) - sum(chance_differences) / SHUFFLES)
     return worst
 
 
 def _shuffled(slots: Slots, draw: random.Random) -> Slots:
-    """The same requests with their results dealt out anew within each slot."""
+    """Return the same requests with their results permuted within each slot."""
     shuffled: Slots = {}
     for slot, entries in slots.items():
         results = [is_served for _, is_served in entries]
@@ -207,32 +235,32 @@
 
 
 def _difference(slots: Slots) -> float:
-    """The largest difference between groups in the share that is served."""
+    """Return the largest difference between groups in the share of requests served."""
     sums: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
     for entries in slots.values():
         mean = sum(is_served for _, is_served in entries) / len(entries)
         for group, is_served in entries:
             sums[group][0] += 1
             sums[group][1] += is_served - mean
-    rates = [extra / count for count, extra in sums.values() if count >= MIN_IN_GROUP]
+    rates = [extra / count for count, extra in sums.values() if count >= MIN_GROUP_REQUESTS_PER_RUN]
     return max(rates, default=0.0) - min(rates, default=0.0)
 
 
 def difference_over_runs(results: list[RunResult]) -> float:
-    """The largest difference between groups in the share of a class that is served, over all runs."""
+    """Return the largest difference between groups in the share of a class that was served, over all runs."""
     worst = 0.0
     for class_number in range(len(REQUEST_CLASSES)):
         sums = [
             [sum(r.attempts.get((group, class_number), [0, 0])[i] for r in results) for i in (0, 1)]
             for group in range(GROUPS)
         ]
-        rates = [extra / count for count, extra in sums if count >= MIN_IN_GROUPS]
+        rates = [extra / count for count, extra in sums if count >= MIN_GROUP_REQUESTS_OVER_RUNS]
         worst = max(worst, max(rates, default=0.0) - min(rates, default=0.0))
     return worst
 
 
-def row(case: Case, instances: int, has_slow_start: bool, results: list[RunResult]) -> str:
-    """A row of the table: medians, and the worst of the first three seconds."""
+def format_row(case: Case, instances: int, has_slow_start: bool, results: list[RunResult]) -> str:
+    """Return a row of the table: medians, and the worst run where two values stand in a cell."""
 
     def median(values: Iterable[float]) -> float:
         return float(np.median(list(values)))
@@ -245,7 +273,7 @@
     cells = [
         str(instances),
         case.name,
-        WITH_RAMP if has_slow_start else BEFORE,
+        WITH_RAMP if has_slow_start else WITHOUT_RAMP,
         str(len(results)),
         " ".join(f"{share:.2f}" for share in seconds),
         f"{median(arrived_shares):.2f} / {min(arrived_shares):.2f}",
@@ -262,7 +290,7 @@
 
 
 def main() -> None:
-    """Run the chosen cases, and print their rows with the seconds so far."""
+    """Run the selected cases and print their rows with the elapsed seconds."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--cases", default="")
@@ -273,20 +301,21 @@
     arguments = parser.parse_args()
     started_at = time.monotonic()
     with ProcessPoolExecutor(arguments.jobs) as pool:
-        for instances, case, has_slow_start in chosen_runs(arguments):
+        for instances, case, has_slow_start in selected_runs(arguments):
             seeds = range(arguments.seeds if instances < MANY_INSTANCES else arguments.many)
             runs = pool.map(measure, repeat(case), repeat(instances), seeds, repeat(has_slow_start))
-            line = row(case, instances, has_slow_start, list(runs))
-            print(line, round(time.monotonic() - started_at), flush=True)
+            table_row = format_row(case, instances, has_slow_start, list(runs))
+            print(table_row, round(time.monotonic() - started_at), flush=True)
 
 
-def chosen_runs(arguments: argparse.Namespace) -> Iterable[tuple[int, Case, bool]]:
-    """The number of instances, case and mode of each row, without those that take too long."""
+def selected_runs(arguments: argparse.Namespace) -> Iterable[tuple[int, Case, bool]]:
+    """Yield the number of instances, the case and whether slow start is on for each row, without rows that
+    take too long."""
     for instances in map(int, arguments.sizes.split(",")):
         for case in CASES:
-            is_long = instances == 500 and case is not CASES[0]
-            is_long = is_long or instances > 5 and case.second_half_delay_ms > 0
-            if arguments.cases not in case.name or is_long:
+            takes_too_long = instances == 500 and case is not CASES[0]
+            takes_too_long = takes_too_long or instances > 5 and case.second_half_delay_ms > 0
+            if arguments.cases not in case.name or takes_too_long:
                 continue
             for has_slow_start in (False, True):
                 if not arguments.only or has_slow_start == (arguments.only == WITH_RAMP):
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -1,9 +1,9 @@
-"""Measures the fleet's pure core in virtual time and writes docs/measurements/fleet-core.md:
+"""Measures the fleet coordinator in virtual time and writes docs/measurements/fleet-core.md:
 
     python benchmarks/fleet/run.py [--seeds 1000] [--jobs 6] [--many]
 
-Evacuation and return at 5 and 50 instances, with --many also at 500 (four minutes a run), bytes and CPU each,
-and false evacuations with 30% of messages lost.
+Measures evacuation and return with 5 and 50 instances, with --many also with 500 (four minutes per run), the
+bytes and CPU time of each instance, and false evacuations with 30% of messages lost.
 """
 
 from __future__ import annotations
@@ -21,15 +21,17 @@
 
 OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "fleet-core.md"
 FAULT_BEGIN, FAULT_END, END = 4000.0, 10_000.0, 20_000.0
-SETTLED_MS = 3000.0  # after the fault's begin; and until engines that were killed are warm
+# Time from the fault until its effect is measured, and from a killed engine's return until it is warm.
+SETTLED_MS = 3000.0
 WEIGHTS = (1, 1, 1, 2, 3, 4)
-REQUESTS_PER_INSTANCE = 45.0  # a second
-ENGINE_CAPACITY, LOAD = 50, 0.6  # requests a second; of what engines can do
+REQUESTS_PER_INSTANCE = 45.0  # per second
+# Capacity of an engine in requests per second, and the usual load as a share of the capacity of all engines.
+ENGINE_CAPACITY, LOAD = 50, 0.6
 LOSSES = (0.0, 0.3)
 FAULTY_ZONE = "a"
 MANY_INSTANCES = 500
 FAULTS_AT_MANY_INSTANCES = ("killed", "ten times slower")
-SIZES = [(5, 20), (50, 3)]  # instances, and runs of each
+SIZES = [(5, 20), (50, 3)]  # numbers of instances and of runs
 FAULTS: dict[str, dict[str, float]] = {
     "killed": {"is_dead": True},
     "silent": {"silent_until": FAULT_END},
@@ -49,7 +51,7 @@
 
 
 def make_world(seed: int, instances: int, rate: float, loss: float) -> FleetWorld:
-    """Engines in three zones for a load of 0.6 of what they can do at the usual rate."""
+    """Return a model with engines in three zones; at the usual rate the load is 0.6 of their capacity."""
     engines = math.ceil(instances * REQUESTS_PER_INSTANCE / LOAD / ENGINE_CAPACITY / 3)
     return FleetWorld(
         seed, instances, rate, engines=engines, skew=lambda number: WEIGHTS[number % len(WEIGHTS)], loss=loss
@@ -57,9 +59,13 @@
 
 
 def run_calm(job: tuple[int, float]) -> tuple[int, int]:
-    """A run of a seed and a load without a fault, with 30% of messages lost.
+    """Run a model without a fault, with 30% of messages lost.
 
-    Returns the evacuations by single instances, and 1 if the fleet evacuated a zone.
+    Args:
+        job: The seed, and the load as a multiple of the usual one.
+
+    Returns:
+        The number of evacuations by instances, and 1 if the fleet evacuated a zone, else 0.
     """
     seed, load = job
     world = make_world(seed, 6, 6 * REQUESTS_PER_INSTANCE * load, 0.3)
@@ -73,16 +79,16 @@
     return len(evacuations), int(any(change.reason in FLEET_REASONS for change in evacuations))
 
 
-def set_fault(world: FleetWorld, fault: str) -> None:
-    """Begin a fault of the engines of one zone."""
+def inject_fault(world: FleetWorld, fault: str) -> None:
+    """Begin a fault of all engines in the faulty zone."""
     for engine in world.engines.values():
         if engine.zone == FAULTY_ZONE:
             for name, value in FAULTS[fault].items():
                 setattr(engine, name, value)
 
 
-def mend_fault(world: FleetWorld, fault: str) -> None:
-    """End a fault; engines that were killed come back cold."""
+def clear_fault(world: FleetWorld, fault: str) -> None:
+    """End a fault; engines that were killed return cold."""
     for engine in world.engines.values():
         if engine.zone == FAULTY_ZONE:
             engine.is_dead, engine.slow_factor, engine.failing_share = False, 1.0, 0.0
@@ -90,21 +96,21 @@
                 engine.busy_until, engine.cold_until = FAULT_END, FAULT_END + SETTLED_MS
 
 
-def cost(world: FleetWorld) -> tuple[int, float]:
-    """Bytes sent and seconds of CPU so far."""
+def resource_usage(world: FleetWorld) -> tuple[int, float]:
+    """Return the bytes sent and the seconds of CPU time used so far."""
     return world.network.sent_bytes, sum(node.cpu_seconds for node in world.nodes.values())
 
 
 def run_with_fault(job: FaultJob) -> Figures:
-    """One run with a fault from 4 s to 10 s."""
+    """Run a model with a fault from 4 s to 10 s and return its figures."""
     seed, instances, fault, loss = job
     world = make_world(seed, instances, instances * REQUESTS_PER_INSTANCE, loss)
     world.run(FAULT_BEGIN)
-    calm_bytes, calm_cpu = cost(world)
-    set_fault(world, fault)
+    calm_bytes, calm_cpu = resource_usage(world)
+    inject_fault(world, fault)
     world.run(FAULT_END)
-    total_bytes, total_cpu = cost(world)
-    mend_fault(world, fault)
+    total_bytes, total_cpu = resource_usage(world)
+    clear_fault(world, fault)
     world.run(END)
     evacuated_after = [_evacuated_after(changes) for changes in _phase_changes(world)]
     fair_share = world.share(FAULTY_ZONE, 1000.0, FAULT_BEGIN)
@@ -132,7 +138,7 @@
 
 
 def _phase_changes(world: FleetWorld) -> list[list[tuple[float, str, ZonePhase]]]:
-    """Time, zone and phase of each change, by instance."""
+    """Return the time, zone and phase of each phase change, by instance."""
     return [
         [(at, change.zone, change.phase) for at, change in node.phase_changes]
         for node in world.nodes.values()
@@ -140,19 +146,19 @@
 
 
 def _evacuated_after(changes: list[tuple[float, str, ZonePhase]]) -> float:
-    """Ms from the fault until an instance first evacuates the faulty zone."""
+    """Return the ms from the fault until an instance first evacuates the faulty zone."""
     times = [at for at, zone, phase in changes if zone == FAULTY_ZONE and phase is ZonePhase.EVACUATED]
     return min(times, default=np.inf) - FAULT_BEGIN
 
 
 class Page:
-    """The lines of the page; rows are printed as they are added."""
+    """Collects the lines of the page; rows are printed as they are added."""
 
-    def __init__(self, seeds: int, has_many: bool) -> None:
-        self.lines = INTRODUCTION.format(seeds=seeds, many=" --many" * has_many).split("\n")
+    def __init__(self, seeds: int, includes_many: bool) -> None:
+        self.lines = INTRODUCTION.format(seeds=seeds, many=" --many" * includes_many).split("\n")
 
     def add_header(self, *columns: str) -> None:
-        """Begin a table."""
+        """Add the header of a table."""
         self.lines += [f"| {' | '.join(columns)} |", "| --- " * len(columns) + "|"]
 
     def add_row(self, *cells: str) -> None:
@@ -161,16 +167,16 @@
         print(self.lines[-1], flush=True)
 
 
-def median_and_worst(runs: list[Figures], name: str, form: str = "{:.0f}") -> str:
-    """A cell with a figure's median and greatest value."""
+def median_and_worst(runs: list[Figures], name: str, number_format: str = "{:.0f}") -> str:
+    """Return a table cell with the median and the maximum of a figure."""
     values = [figures[name] for figures in runs]
-    return f"{form} / {form}".format(np.median(values), max(values))
+    return f"{number_format} / {number_format}".format(np.median(values), max(values))
 
 
 def add_fault_table(
     page: Page, cases: list[tuple[int, int, str, float]], runs: list[tuple[FaultJob, Figures]]
 ) -> None:
-    """A row for each number of instances, fault and loss."""
+    """Add a table with a row for each number of instances, fault and message loss."""
     page.add_header(
         "instances",
         "fault",
@@ -184,35 +190,35 @@
         "wrong zones left",
     )
     for instances, _, fault, loss in cases:
-        of_case = [figures for job, figures in runs if job[1:] == (instances, fault, loss)]
+        case_figures = [figures for job, figures in runs if job[1:] == (instances, fault, loss)]
         page.add_row(
             f"{instances}",
             fault,
             f"{loss:.0%}",
-            median_and_worst(of_case, "first"),
-            median_and_worst(of_case, "all"),
-            median_and_worst(of_case, "share out", "{:.3f}"),
-            median_and_worst(of_case, "first second back", "{:.3f}"),
-            median_and_worst(of_case, "most", "{:.2f}"),
-            median_and_worst(of_case, "full"),
-            str(int(sum(figures["wrong"] for figures in of_case))),
+            median_and_worst(case_figures, "first"),
+            median_and_worst(case_figures, "all"),
+            median_and_worst(case_figures, "share out", "{:.3f}"),
+            median_and_worst(case_figures, "first second back", "{:.3f}"),
+            median_and_worst(case_figures, "most", "{:.2f}"),
+            median_and_worst(case_figures, "full"),
+            str(int(sum(figures["wrong"] for figures in case_figures))),
         )
 
 
 def add_cost_table(page: Page, sizes: list[tuple[int, int]], runs: list[tuple[FaultJob, Figures]]) -> None:
-    """Bytes and CPU of an instance, by the number of instances."""
+    """Add a table of the bytes and CPU time of an instance, by the number of instances."""
     page.lines.append("")
     page.add_header("instances", "bytes a second, calm", "in trouble", "CPU ms a second, calm", "in trouble")
     for instances, _ in sizes:
-        of_size = [figures for job, figures in runs if job[1] == instances]
+        size_figures = [figures for job, figures in runs if job[1] == instances]
         names = ("calm bytes", "bytes", "calm cpu", "cpu")
-        means = [np.mean([figures[name] for figures in of_size]) for name in names]
+        means = [np.mean([figures[name] for figures in size_figures]) for name in names]
         page.add_row(f"{instances}", *(f"{mean:.0f}" if mean > 10 else f"{mean:.1f}" for mean in means))
     page.lines += ["", "Each instance sends and receives as much. CPU is that of the core in this process."]
 
 
 def add_calm_table(page: Page, pool: PoolType, seeds: int) -> None:
-    """False evacuations without a fault."""
+    """Run models without a fault and add a table of their false evacuations."""
     page.lines.append("")
     page.add_header(
         "load, of what engines can do", "runs", "leavings by one alone", "runs in which the fleet left"
@@ -225,7 +231,7 @@
 
 
 def main() -> None:
-    """Run all, and write the page."""
+    """Run all cases and write the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--jobs", type=int, default=6)
@@ -233,7 +239,7 @@
     arguments = parser.parse_args()
     sizes = SIZES + ([(MANY_INSTANCES, 1)] if arguments.many else [])
     cases = [(n, seeds, fault, loss) for n, seeds in sizes for fault in FAULTS for loss in LOSSES]
-    # Runs of many instances take minutes.
+    # A run of that many instances takes minutes, so only some of these cases are run.
     cases = [c for c in cases if c[0] < MANY_INSTANCES or c[2] in FAULTS_AT_MANY_INSTANCES and c[3]]
     jobs = [(seed, n, fault, loss) for n, seeds, fault, loss in reversed(cases) for seed in range(seeds)]
     page = Page(arguments.seeds, arguments.many)
