--- a/benchmarks/consul/run.py
+++ b/benchmarks/consul/run.py
@@ -1,9 +1,9 @@
-"""Measures the Consul front and writes docs/measurements/consul.*:
+"""Measures discovery through Consul and writes docs/measurements/consul.*:
 
     python benchmarks/consul/run.py [--changes 1000]
 
-Stand-in Consul, engines and clients run in this process, the dispatcher in one of its own. All on loopback,
-bounded in count and time.
+The emulated Consul, the engines and the clients run in this process, the dispatcher in another one. All
+connections use the loopback interface.
 """
 
 from __future__ import annotations
@@ -43,14 +43,15 @@
 OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements"
 PORT = 23306
 ENGINES, CLIENTS, WORK_MS = 8, 24, 4.0
-# Between two changes, and how long an engine stays out: three of eight at once, which the floor lets go.
+# Time between two changes, and time for which an engine is out. At most three of the eight engines are out at
+# a time, which the lower limit on engines in service permits.
 CHANGE_INTERVAL_S, OUTAGE_S = 0.09, 0.25
 WARMUP_S, IDLE_S = 1.0, 20.0
 LOGIN = (0x8208).to_bytes(4, "little") + bytes(28) + b"app\0\0dw\0"
 ERROR_MARK, END_MARK, MAX_END_BYTES = b"\xff", b"\xfe", 9
-ENDS_PER_RESPONSE = 2  # of the columns and of the rows
-CATALOG_SIZES = (10, 1000, 10_000)  # engines
-# A change in Consul, and the one that takes it back (the engine's address is added to a register).
+ENDS_PER_RESPONSE = 2  # one end packet after the column definitions, one after the rows
+CATALOG_SIZES = (10, 1000, 10_000)  # numbers of engines
+# Each kind of change in Consul and the kind that reverts it; a registration also needs the engine's address.
 REVERSALS = {
     ChangeKind.CRITICAL: ChangeKind.PASSING,
     ChangeKind.MAINTENANCE: ChangeKind.MAINTENANCE,
@@ -58,27 +59,27 @@
 }
 
 Latencies = dict[str, list[float]]  # by kind of change
-Costs = dict[str, float]
+ChangeCosts = dict[str, float]
 
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """What the dispatcher did and used."""
+    """The dispatcher's throughput and use of resources."""
 
     queries_per_second: float
-    idle_cpu_percent: float  # of a core
+    idle_cpu_percent: float  # of one core
     resident_mb: float
 
 
-def config(agent: str) -> dict[str, Any]:
-    """A dispatcher's configuration."""
+def dispatcher_config(agent: str) -> dict[str, Any]:
+    """Return the dispatcher's configuration."""
     return {
         "name": "bench",
         "listen": f"127.0.0.1:{PORT}",
         "seed": 1,
         "machine_types": [{"name": "std", "cores": 8, "memory_mb": 16384}],
         "classes": [{"name": "lookup", "aim_ms": 1000, "deadline_ms": 5000, "effect": "safe"}],
-        "rules": {"warm_within_ms": 1},  # each return would else be a cold start, and get next to no load
+        "rules": {"warm_within_ms": 1},  # A returning engine would otherwise be cold and get little load.
         "sources": [
             {
                 "kind": "consul",
@@ -99,7 +100,7 @@
         self.number, self.served = number, 0
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Log in, and send queries until the event is set."""
+        """Log in and send queries until the event is set."""
         reader, writer = await asyncio.open_connection("127.0.0.1", PORT)
         writer.write(_packet(1, LOGIN))
         for _ in ("greeting", "result of the login"):
@@ -127,7 +128,7 @@
 
 
 async def _is_served(reader: asyncio.StreamReader) -> bool:
-    """Read a response; return whether it has rows, and not an error."""
+    """Read a response; return whether it has rows rather than an error."""
     ends = 0
     while ends < ENDS_PER_RESPONSE:
         body = await _read_packet(reader)
@@ -138,14 +139,15 @@
 
 
 async def measure_latencies(changes: int, folder: Path) -> tuple[Latencies, Usage]:
-    """Milliseconds from each change to the last request that came to its engine; 0 where none came."""
+    """Return the ms from each change to the last request that its engine received (0 if none), and the
+    dispatcher's usage."""
     server = Server()
     agent = f"127.0.0.1:{await server.start('127.0.0.1', 0)}"
     engines = [StandInEngine(f"e{i}", WORK_MS) for i in range(ENGINES)]
     for engine in engines:
         server.add_engine(engine.id, f"127.0.0.1:{await engine.start()}")
     path = folder / "bench.json"
-    path.write_text(json.dumps(config(agent)))
+    path.write_text(json.dumps(dispatcher_config(agent)))
     dispatcher = subprocess.Popen(
         [sys.executable, "-m", "cottonhold.cli.main", "serve", "--config", str(path)],
         stderr=subprocess.DEVNULL,
@@ -173,7 +175,7 @@
 
 
 async def _wait_for_watch(server: Server) -> None:
-    """Wait until the dispatcher's blocking query is there."""
+    """Wait until the dispatcher's blocking query has arrived, for 10 s at most."""
     for _ in range(200):
         await asyncio.sleep(0.05)
         if server.waiting:
@@ -181,7 +183,7 @@
 
 
 async def make_changes(server: Server, engines: list[StandInEngine], count: int) -> Latencies:
-    """Make changes of all kinds to one engine after another; return each one's latencies."""
+    """Make changes of all kinds to one engine after another; return the latencies by kind."""
     latencies: Latencies = {kind: [] for kind in REVERSALS}
     kinds, changes = list(REVERSALS), list[asyncio.Task[None]]()
     for number in range(count):
@@ -196,7 +198,7 @@
 async def make_change(
     server: Server, engine: StandInEngine, kind: ChangeKind, latencies_ms: list[float]
 ) -> None:
-    """Take an engine out, note when its last request came, and bring it back."""
+    """Take an engine out, record the latency until its last request, and bring it back."""
     is_maintenance = kind is ChangeKind.MAINTENANCE
     changed_at = time.monotonic()
     server.apply(Step(0, kind, (engine.id, "on") if is_maintenance else (engine.id,)))
@@ -212,26 +214,26 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Seconds of CPU that a process has used."""
+    """Return the CPU time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(") ", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def resident_mb(pid: int) -> float:
-    """Resident memory of a process."""
+    """Return the resident memory of a process, in MiB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) / 1024 for line in lines if line.startswith("VmRSS"))
 
 
 async def measure_idle_cpu_percent(pid: int) -> float:
-    """CPU of a process while nothing happens, in percent of a core."""
+    """Return the CPU time of a process over 20 s without load, in percent of one core."""
     before_s = cpu_s(pid)
     await asyncio.sleep(IDLE_S)
     return 100 * (cpu_s(pid) - before_s) / IDLE_S
 
 
 def make_catalog(size: int) -> Catalog:
-    """A catalogue of so many engines."""
+    """Return an emulated Consul catalog with so many engines."""
     catalog = Catalog(lambda: 0.0)
     for i in range(size):
         body = {
@@ -246,16 +248,17 @@
     return catalog
 
 
-def measure_change_cost(size: int, rounds: int = 60) -> Costs:
-    """One engine of `size` changes: median ms for cutting, for deciding, and for a plain reading."""
+def measure_change_cost(size: int, rounds: int = 60) -> ChangeCosts:
+    """Return sizes, and median ms for a change of one of `size` engines: `cut` to find and decode the changed
+    entry, `decide` to update the engine catalog, `plain` to decode all entries."""
     catalog = make_catalog(size)
     rows = catalog.health_rows("engine")
     names = ConfiguredNames((), ("std",))
-    answers = HealthResponseDecoder(names, EntryInterpretation(), print)
-    belief = EngineCatalog((("dc1", SourceGuard(min_quiet_ms=0.0)),), 1)
+    decoder = HealthResponseDecoder(names, EntryInterpretation(), print)
+    engine_catalog = EngineCatalog((("dc1", SourceGuard(min_quiet_ms=0.0)),), 1)
     tracemalloc.start()
-    first = answers.decode_health_response(json.dumps(rows).encode())
-    belief.step(0.0, [SourceReport("dc1", 1, first.observations, first.absent_ids)])
+    first = decoder.decode_health_response(json.dumps(rows).encode())
+    engine_catalog.step(0.0, [SourceReport("dc1", 1, first.observations, first.absent_ids)])
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     plain: msgspec.json.Decoder[list[Entry]] = msgspec.json.Decoder(list[Entry])
@@ -263,14 +266,20 @@
     for number in range(rounds):
         rows[number % size]["Checks"][-1]["Status"] = "critical" if number // size % 2 == 0 else "passing"
         data = json.dumps(rows).encode()
-        t0 = time.perf_counter()
-        got = answers.decode_health_response(data)
-        t1 = time.perf_counter()
-        belief.step(number * 1000.0, [SourceReport("dc1", number + 2, got.observations, got.absent_ids)])
-        t2 = time.perf_counter()
+        started_at = time.perf_counter()
+        decoded = decoder.decode_health_response(data)
+        decoded_at = time.perf_counter()
+        engine_catalog.step(
+            number * 1000.0, [SourceReport("dc1", number + 2, decoded.observations, decoded.absent_ids)]
+        )
+        updated_at = time.perf_counter()
         plain.decode(data)
-        t3 = time.perf_counter()
-        for name, value in (("cut", t1 - t0), ("decide", t2 - t1), ("plain", t3 - t2)):
+        ended_at = time.perf_counter()
+        for name, value in (
+            ("cut", decoded_at - started_at),
+            ("decide", updated_at - decoded_at),
+            ("plain", ended_at - updated_at),
+        ):
             times[name].append(value * 1000)
     return {
         "engines": size,
@@ -281,7 +290,7 @@
 
 
 def latency_section(latencies: Latencies) -> list[str]:
-    """A table of latencies by kind of change."""
+    """Return a table of latencies by kind of change."""
     lines = [
         "## From a change in Consul to the last request at that engine",
         "",
@@ -291,13 +300,15 @@
     all_ms = [value for values in latencies.values() for value in values]
     for name, values in [*latencies.items(), ("all", all_ms)]:
         p50, p99 = np.percentile(values, [50, 99])
-        without = sum(value == 0 for value in values)
-        lines.append(f"| {name} | {len(values)} | {p50:.1f} | {p99:.1f} | {max(values):.1f} | {without} |")
+        without_requests = sum(value == 0 for value in values)
+        lines.append(
+            f"| {name} | {len(values)} | {p50:.1f} | {p99:.1f} | {max(values):.1f} | {without_requests} |"
+        )
     return lines
 
 
-def cost_section(costs: list[Costs]) -> list[str]:
-    """A table of what a change costs, by the number of engines."""
+def cost_section(costs: list[ChangeCosts]) -> list[str]:
+    """Return a table of the cost of a change, by the number of engines."""
     lines = [
         "## What one change costs",
         "",
@@ -315,26 +326,26 @@
     return lines
 
 
-def draw_figure(latencies: Latencies, costs: list[Costs]) -> None:
-    """Write the figure: the latencies' distribution, and costs by the number of engines."""
-    figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 3.6))
+def draw_figure(latencies: Latencies, costs: list[ChangeCosts]) -> None:
+    """Write the figure: the distribution of latencies, and the costs by the number of engines."""
+    figure, (latency_axes, cost_axes) = pyplot.subplots(1, 2, figsize=(10, 3.6))
     for name, values in latencies.items():
         ordered = np.sort(values)
-        left.plot(ordered, np.arange(1, len(ordered) + 1) / len(ordered), label=name)
-    left.set(
+        latency_axes.plot(ordered, np.arange(1, len(ordered) + 1) / len(ordered), label=name)
+    latency_axes.set(
         xlabel="ms to the last request", ylabel="share of changes", title="From a change to the last request"
     )
-    left.legend()
+    latency_axes.legend()
     sizes = [cost["engines"] for cost in costs]
     for name, label in (("cut", "cutting"), ("decide", "deciding"), ("plain", "plain decoding")):
-        right.plot(sizes, [cost[name] for cost in costs], marker="o", label=label)
-    right.set(xscale="log", yscale="log", xlabel="engines", ylabel="ms", title="One change")
-    right.legend()
+        cost_axes.plot(sizes, [cost[name] for cost in costs], marker="o", label=label)
+    cost_axes.set(xscale="log", yscale="log", xlabel="engines", ylabel="ms", title="One change")
+    cost_axes.legend()
     figure.tight_layout()
     figure.savefig(OUTPUT / "consul.svg", metadata={"Date": None})
 
 
-def write(latencies: Latencies, usage: Usage, costs: list[Costs]) -> None:
+def write_page(latencies: Latencies, usage: Usage, costs: list[ChangeCosts]) -> None:
     """Write the page and its figure."""
     OUTPUT.mkdir(parents=True, exist_ok=True)
     lines = [
@@ -368,7 +379,7 @@
     costs = [measure_change_cost(size) for size in CATALOG_SIZES]
     with tempfile.TemporaryDirectory() as folder:
         latencies, usage = uvloop.run(measure_latencies(arguments.changes, Path(folder)))
-    write(latencies, usage, costs)
+    write_page(latencies, usage, costs)
     print((OUTPUT / "consul.md").read_text())
 
 
--- a/benchmarks/fleet/check.py
+++ b/benchmarks/fleet/check.py
@@ -1,6 +1,6 @@
-"""The model checker of registers and ownership, deeper than CI: `python -m benchmarks.fleet.check`.
+"""Runs the model checker on registers and ownership, deeper than CI: `python -m benchmarks.fleet.check`.
 
-Prints for each check what was looked at (states, steps, depth) and the rule that was broken, with its trace.
+Prints for each check the numbers of states and steps, the depth, and a violated rule with its trace.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def run_check(name: str, check: Callable[[], CheckResult]) -> bool:
-    """Run one check and print its row; return whether no rule is broken."""
+    """Run one check and print its row; return whether no rule was violated."""
     started_at = time.perf_counter()
     result = check()
     seconds = time.perf_counter() - started_at
@@ -31,14 +31,14 @@
 
 
 def main() -> int:
-    """Run all checks; return 1 if a rule is broken."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--walks", type=int, default=2000)
-    options.add_argument("--length", type=int, default=250)
-    options.add_argument("--states", type=int, default=10_000, help="most of each exhaustive search")
-    options.add_argument("--depth", type=int, default=12)
-    options.add_argument("--seed", type=int, default=1)
-    arguments = options.parse_args()
+    """Run all checks; return 1 if a rule was violated, else 0."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--walks", type=int, default=2000)
+    parser.add_argument("--length", type=int, default=250)
+    parser.add_argument("--states", type=int, default=10_000, help="most of each exhaustive search")
+    parser.add_argument("--depth", type=int, default=12)
+    parser.add_argument("--seed", type=int, default=1)
+    arguments = parser.parse_args()
     print(f"{'world':<22} {'states':>9} {'steps':>10} {'depth':>6}")
 
     def registers() -> Model:
--- a/benchmarks/fleet/cuts.py
+++ b/benchmarks/fleet/cuts.py
@@ -1,13 +1,14 @@
-"""Cuts the power of a small fleet of processes again and again and counts loads that were run twice:
+"""Repeatedly cuts the power of a small fleet of processes and counts loads that ran twice:
 
     python benchmarks/fleet/cuts.py FOLDER [--fleets 4] [--cuts 50] [--jobs 2] [--seed 1]
     python benchmarks/fleet/cuts.py FOLDER --guard off            # must find loads that ran twice
     python benchmarks/fleet/cuts.py FOLDER --plant record-late    # likewise
     python benchmarks/fleet/cuts.py FOLDER --follow 1234          # the timeline of load 1234
 
-Four dispatchers, three engines that take 300 ms for a load, 24 loads a second; all are killed at once at
-drawn times, without what was not synced, and come back in a drawn order. A fleet a folder, ten minutes at
-most; it goes on after a finding. The table goes to FOLDER/cuts.md. Code 1 if anything was found.
+A fleet has four dispatchers and three engines that take 300 ms for a load; clients send 24 loads per second.
+All processes are killed together at random times, lose what was not synced to disk, and are restarted in
+random order. Each fleet has its own folder, runs for ten minutes at most and continues after a finding. The
+table is written to FOLDER/cuts.md. The exit code is 1 if there is any finding or a fleet has no result.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 POLL_INTERVAL_S = 0.2
 ALL_MOMENTS = "all"
-SHOWN_ANSWERS = (
+REPORTED_ANSWERS = (
     RetryAnswer.SERVED_BEFORE,
     RetryAnswer.MAY_HAVE_RUN,
     RetryAnswer.SENT,
@@ -43,8 +44,8 @@
 )
 
 
-def play(seed: int, folder: Path, count: int, has_ledger: bool, defect: str) -> None:
-    """Play one fleet in this process."""
+def run_fleet(seed: int, folder: Path, count: int, has_ledger: bool, defect: str) -> None:
+    """Run one fleet in this process."""
     run = PowerLossRun(scenario_of(seed), folder, has_ledger, defect)
     try:
         uvloop.run(run.run(count))
@@ -52,8 +53,8 @@
         run.kill_all()
 
 
-def play_in_processes(arguments: argparse.Namespace) -> None:
-    """Play all fleets, some at a time, each in a process of its own."""
+def run_fleets_in_processes(arguments: argparse.Namespace) -> None:
+    """Run each fleet in a separate process, at most `--jobs` at a time."""
     seeds = list(range(arguments.seed, arguments.seed + arguments.fleets))
     running = list[subprocess.Popen[bytes]]()
     options = ["--cuts", str(arguments.cuts), "--guard", arguments.guard]
@@ -68,7 +69,7 @@
 
 
 def moment_rows(results: list[PowerLossRunResult]) -> list[str]:
-    """Return a row for each moment of a power loss, and one for all."""
+    """Return a table with a row for each moment of a power loss and one for all."""
     rows = [
         "| power goes | cuts | loads in flight | at an engine | begun, no end heard "
         "| retries told well | may have run | sent here | later | met nobody |",
@@ -90,7 +91,7 @@
             sum(counts.in_flight for counts in observed),
             sum(counts.at_engines for counts in observed),
             sum(counts.unreported for counts in observed),
-            *(answers[answer] for answer in SHOWN_ANSWERS),
+            *(answers[answer] for answer in REPORTED_ANSWERS),
         ]
         rows.append("| " + " | ".join(map(str, cells)) + " |")
     return rows
@@ -117,8 +118,8 @@
     return lines
 
 
-def report(folder: Path, fleets: int) -> int:
-    """Write and print the table; return 1 if anything was found or a fleet has no result."""
+def write_report(folder: Path, fleets: int) -> int:
+    """Write and print the table; return 1 if there are findings or a fleet has no result, else 0."""
     results = [read_result(path) for path in sorted(folder.glob(f"*/{RESULT_FILE}"))]
     lines = [*moment_rows(results), "", *summary(results)]
     lines += [f"- seed {r.seed}: {finding}" for r in results for finding in r.findings]
@@ -129,8 +130,8 @@
     return int(bool(missing or any(r.findings for r in results)))
 
 
-def follow(folder: Path, number: int) -> None:
-    """Print what became of a load, from the logs of earlier runs."""
+def print_timeline(folder: Path, number: int) -> None:
+    """Print the timeline of a load from the logs of earlier runs."""
     for path in sorted(folder.rglob(RESULT_FILE)):
         result = read_result(path)
         run = PowerLossRun(scenario_of(result.seed), path.parent, forks=False)
@@ -141,7 +142,7 @@
 
 
 def main() -> int:
-    """See the module."""
+    """Run what the arguments select; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("folder", type=Path)
     parser.add_argument("--fleets", type=int, default=4)
@@ -155,13 +156,13 @@
     arguments = parser.parse_args()
     folder, seed = arguments.folder, arguments.seed
     if arguments.follow is not None:
-        follow(folder, arguments.follow)
+        print_timeline(folder, arguments.follow)
         return 0
     if arguments.one:
-        play(seed, folder / str(seed), arguments.cuts, arguments.guard == "on", arguments.plant)
+        run_fleet(seed, folder / str(seed), arguments.cuts, arguments.guard == "on", arguments.plant)
         return 0
-    play_in_processes(arguments)
-    return report(folder, arguments.fleets)
+    run_fleets_in_processes(arguments)
+    return write_report(folder, arguments.fleets)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/outlook.py
+++ b/benchmarks/fleet/outlook.py
@@ -67,7 +67,8 @@
 
     Attributes:
         rates: Requests per second, by zone.
-        ill_zone_speed: Speed of the faulty zone's engines as a part of the usual one; 0 if engines are lost.
+        faulty_zone_speed: Speed of the faulty zone's engines as a part of the usual one; 0 if engines are
+            lost.
         remaining: The part of each affected zone's capacity that remains.
     """
 
@@ -270,24 +271,24 @@
     return [*rows, ""]
 
 
-def page(seeds: range) -> str:
+def build_page(seeds: range) -> str:
     """Run all scenarios in the model and return the page's text."""
-    few_seeds = list(seeds)[: math.ceil(len(seeds) / 4)]
+    wrong_input_seeds = list(seeds)[: math.ceil(len(seeds) / 4)]
     runs = {
         decides: {name: [run_model(name, seed, decides) for seed in seeds] for name in SCENARIOS}
         for decides in ("outlook", "today")
     }
 
-    def run_few(**options: Any) -> list[Figures]:
-        return [run_model("lost zone", seed, "outlook", **options) for seed in few_seeds]
+    def run_wrong_input(**options: Any) -> list[Figures]:
+        return [run_model("lost zone", seed, "outlook", **options) for seed in wrong_input_seeds]
 
     wrong_input = {
-        "half of the words lost": run_few(loss=0.5),
-        "one claims ten times its demand, all warm, no distance": run_few(claim_factor=10.0),
-        "engines keep all data sets": run_few(cached_data_sets=0),
+        "half of the words lost": run_wrong_input(loss=0.5),
+        "one claims ten times its demand, all warm, no distance": run_wrong_input(claim_factor=10.0),
+        "engines keep all data sets": run_wrong_input(cached_data_sets=0),
     }
     lines = [
-        INTRODUCTION.format(seeds=len(seeds), few=len(few_seeds)),
+        INTRODUCTION.format(seeds=len(seeds), few=len(wrong_input_seeds)),
         *projection_table("day", runs["outlook"]),
         "On the day of the lost zone, with wrong input or other engines:",
         "",
@@ -309,7 +310,7 @@
     if arguments.service:
         print_service_rows(arguments.service, seeds)
     else:
-        OUTPUT.write_text(page(seeds))
+        OUTPUT.write_text(build_page(seeds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/overload.py
+++ b/benchmarks/fleet/overload.py
@@ -20,14 +20,14 @@
 from cottonhold.fleet.admission.threshold import ThresholdSettings
 
 OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "overload-core.md"
-SHARED, SHARED_WITHOUT_GAIN = "one price", "one price, no gain"
+SHARED_THRESHOLD, SHARED_THRESHOLD_WITHOUT_GAIN = "one price", "one price, no gain"
 POLICIES: dict[str, Callable[[int], Policy]] = {
     "nothing turned away": lambda number: Policy(),
     "each alone, AIMD": lambda number: AdaptiveShare(),
     "each alone, queue delay": lambda number: QueueDelay(),
     "credits by demand": lambda number: Credits(),
-    SHARED_WITHOUT_GAIN: lambda number: SharedThreshold(),
-    SHARED: lambda number: SharedThreshold(),
+    SHARED_THRESHOLD_WITHOUT_GAIN: lambda number: SharedThreshold(),
+    SHARED_THRESHOLD: lambda number: SharedThreshold(),
 }
 NO_GAIN = DemandSettings(threshold=ThresholdSettings(wait_correction=0.0, gain_rate=0.0))
 WEIGHTS = (1, 1, 1, 2, 3, 4)
@@ -101,7 +101,7 @@
         engines for each request served, and the bytes that each instance sent per second.
     """
     seed, policy, case_arguments = job
-    options: dict[str, Any] = {"settings": NO_GAIN} if policy == SHARED_WITHOUT_GAIN else {}
+    options: dict[str, Any] = {"settings": NO_GAIN} if policy == SHARED_THRESHOLD_WITHOUT_GAIN else {}
     world = make_world(seed, POLICIES[policy], **case_arguments, **options)
     world.run(END)
     served_utility, possible_utility = world.utility(BEGIN, END)
@@ -221,7 +221,9 @@
             "bytes a second",
         )
         for case, case_arguments in CASES.items():
-            page.add_row([case], pool.map(measure, [(seed, SHARED, case_arguments) for seed in seeds], 1))
+            page.add_row(
+                [case], pool.map(measure, [(seed, SHARED_THRESHOLD, case_arguments) for seed in seeds], 1)
+            )
         page.add_table(
             "Two of three zones gone for 7 s at 0.84 of the capacity of all:",
             "clients",
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -225,8 +225,8 @@
     )
     for load, count in ((1.0, seeds), (1.6, seeds // 3)):
         results = pool.map(run_calm, [(seed, load) for seed in range(count)], chunksize=4)
-        alone, fleet = sum(single for single, _ in results), sum(of_fleet for _, of_fleet in results)
-        page.add_row(f"{LOAD * load:.2f}", f"{count}", f"{alone}", f"{fleet}")
+        by_one, by_fleet = sum(single for single, _ in results), sum(of_fleet for _, of_fleet in results)
+        page.add_row(f"{LOAD * load:.2f}", f"{count}", f"{by_one}", f"{by_fleet}")
     page.lines += ["", "Six instances, skewed 1:1:1:2:3:4, 20 s each without a fault, 30% of words lost.", ""]
 
 
--- a/benchmarks/fleet/swap.py
+++ b/benchmarks/fleet/swap.py
@@ -1,9 +1,9 @@
-"""Measures the rolling replacement's pure core in virtual time and writes docs/measurements/swap-core.md:
+"""Measures the coordinator of rolling replacements in virtual time and writes docs/measurements/swap-core.md:
 
     python -m benchmarks.fleet.swap [--seconds 300]
 
-Each hard case with as many seeds as that processor time allows, the planted defects, and the order of
-machines against brute force.
+Runs each case with as many seeds as the given CPU time allows, runs the planted defects, and compares the
+order of machines with the best of all orders.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 
 
 def median(values: list[float]) -> float:
-    """The median, of two the upper one; 0 of none."""
+    """Return the upper median; 0 if there are no values."""
     return statistics.median_high(values) if values else 0.0
 
 
 def schedule_quality(seed: int) -> tuple[float, float]:
-    """The found schedule's duration relative to the best order's, and the ms of CPU that it took to find."""
+    """Return a schedule's duration as a multiple of the best one's, and the CPU time to find it in ms."""
     draw = random.Random(seed)
     jobs = [
         ReplacementJob(
@@ -47,7 +47,9 @@
         for i in range(draw.randint(3, 7))
     ]
     limits = Limits(draw.randint(1, 3), draw.randint(1, 2), draw.randint(1, 3))
-    constraints = ScheduleConstraints(limits, lambda out: ["too much"] * (sum(out.values()) > 12))
+    constraints = ScheduleConstraints(
+        limits, lambda missing_cores: ["too much"] * (sum(missing_cores.values()) > 12)
+    )
     started_at = time.process_time()
     duration_ms = constraints.find_schedule(jobs).duration_ms
     cpu_ms = 1000 * (time.process_time() - started_at)
@@ -56,7 +58,7 @@
 
 
 def run_cases(seconds: float) -> dict[str, list[CaseResult]]:
-    """Run all cases, one seed after another, for so much processor time."""
+    """Run all cases, one seed after another, for so many seconds of CPU time."""
     results: dict[str, list[CaseResult]] = {name: [] for name in CASES}
     end = time.process_time() + seconds
     for seed in itertools.count(1):
@@ -70,12 +72,12 @@
 
 
 def broken_runs(results: list[CaseResult]) -> int:
-    """The number of runs in which a rule was broken."""
+    """Return the number of runs in which a rule was violated."""
     return sum(bool(result.breaches) for result in results)
 
 
 def case_rows(results: dict[str, list[CaseResult]]) -> list[str]:
-    """A table with a row for each case."""
+    """Return a table with a row for each case."""
     rows = [
         "| case | runs | broken | take-overs | ms, median / most | end of the run, s, median / most |",
         "| --- " * 6 + "|",
@@ -92,7 +94,7 @@
 
 
 def defect_rows() -> list[str]:
-    """A table with a row for each planted defect."""
+    """Return a table with a row for each planted defect."""
     rows = ["| planted defect | case | seeds in which it was noticed |", "| --- " * 3 + "|"]
     for name, defect in DEFECTS.items():
         with planted_defect(defect):
@@ -103,7 +105,7 @@
 
 
 def schedule_lines() -> list[str]:
-    """A paragraph on the order of machines against all orders."""
+    """Return a paragraph that compares the found orders of machines with the best of all orders."""
     qualities = [schedule_quality(seed) for seed in range(SCHEDULE_SEEDS)]
     ratios, times_ms = [ratio for ratio, _ in qualities], [cpu_ms for _, cpu_ms in qualities]
     return [
@@ -115,7 +117,7 @@
 
 
 def main() -> None:
-    """Run all, write the page, and print it."""
+    """Run all cases, write the page and print it."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=300.0)
     seconds = parser.parse_args().seconds
--- a/benchmarks/fleet/swap_engines.py
+++ b/benchmarks/fleet/swap_engines.py
@@ -1,4 +1,4 @@
-"""Runs all cases of replacing engines in virtual time and writes docs/measurements/swap-engines-core.md:
+"""Runs all cases of engine replacement in virtual time and writes docs/measurements/swap-engines-core.md:
 
 python -m benchmarks.fleet.swap_engines [--seeds 3] [--processes 2]
 """
@@ -29,13 +29,13 @@
 
 
 def run_case(job: tuple[str, int]) -> tuple[str, int, list[str]]:
-    """Run a case with a seed; return both with the breaches."""
+    """Run a case with a seed; return both with the violations."""
     name, seed = job
     return name, seed, CASES[name](seed)
 
 
-def is_defect_noticed(job: tuple[str, int]) -> tuple[str, bool]:
-    """Plant a defect and run its case with a seed; return its name and whether it was noticed."""
+def is_defect_detected(job: tuple[str, int]) -> tuple[str, bool]:
+    """Plant a defect and run its case with a seed; return its name and whether it was detected."""
     name, seed = job
     defect = DEFECTS[name]
     with planted_defect(defect):
@@ -43,7 +43,7 @@
 
 
 def run_all(seeds: range, processes: int) -> tuple[dict[str, int], dict[str, int]]:
-    """The number of broken runs by case, and of runs in which a defect was noticed by defect."""
+    """Return the number of runs with violations by case, and of runs that detected a defect by defect."""
     broken = dict.fromkeys(CASES, 0)
     noticed = dict.fromkeys(DEFECTS, 0)
     with ProcessPoolExecutor(processes) as pool:
@@ -52,13 +52,13 @@
             for breach in breaches[:3]:
                 print(name, seed, breach, flush=True)
         defect_jobs = [(name, seed) for name in DEFECTS for seed in seeds]
-        for name, is_noticed in pool.map(is_defect_noticed, defect_jobs):
+        for name, is_noticed in pool.map(is_defect_detected, defect_jobs):
             noticed[name] += is_noticed
     return broken, noticed
 
 
 def main() -> None:
-    """Run all cases, and write the page."""
+    """Run all cases and write the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--processes", type=int, default=2)
--- a/benchmarks/fleet/trials.py
+++ b/benchmarks/fleet/trials.py
@@ -1,10 +1,10 @@
-"""Plays the scenarios of zones with the fleet on and off and writes docs/measurements/zones.md and zones.svg:
+"""Runs the zone scenarios with the fleet on and off and writes docs/measurements/zones.md and zones.svg:
 
-    python benchmarks/fleet/trials.py FOLDER [--read] [--overload]      # --read: only what is kept in FOLDER
+    python benchmarks/fleet/trials.py FOLDER [--read] [--overload]
 
-With --overload it plays the scenarios of overload with admission on and off and writes overload.md. FOLDER
-gets one folder a run, `NAME-on` or `NAME-off`. Half a minute each; the machine should have nothing else to
-do.
+With --overload the overload scenarios are run with admission control on and off instead, and overload.md is
+written. With --read nothing is run; the pages are written from the runs in FOLDER. Each run takes half a
+minute and has its own folder in FOLDER, `NAME-on` or `NAME-off`. The machine should be idle otherwise.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 def read_run(folder: Path, name: str) -> tuple[Verdict, dict[str, Any]] | None:
-    """Return a run's verdict and its result; None if it was not played."""
+    """Return a run's verdict and its result; None if there was no such run."""
     path = folder / name / "result.json"
     if not path.is_file():
         return None
@@ -41,7 +41,7 @@
 
 
 def draw_chart(folder: Path) -> None:
-    """Draw sends to zone a and utility served over the most possible, with the fleet on and off."""
+    """Draw the sends to zone a and the served share of the possible utility, with the fleet on and off."""
     figure, axes = pyplot.subplots(2, len(DRAWN_SCENARIOS), figsize=(13, 5), sharex="col")
     for column, name in enumerate(DRAWN_SCENARIOS):
         for mode, colour in (("off", "#d55e00"), ("on", "#0072b2")):
@@ -54,7 +54,7 @@
                 times, [n / BIN_S for n in series["sends a"]], where="post", color=colour, label=mode
             )
             pairs = zip(series["worth served"], series["worth most"], strict=True)
-            shares = [min(got / most, 1.0) if most else 1.0 for got, most in pairs]
+            shares = [min(served / possible, 1.0) if possible else 1.0 for served, possible in pairs]
             axes[1][column].step(times, shares, where="post", color=colour, label=mode)
         axes[0][column].set_title(name)
         axes[1][column].set_ylim(0, 1.05)
@@ -67,6 +67,7 @@
 
 
 def main() -> None:
+    """Write the page that the arguments select."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder", type=Path)
     parser.add_argument("--read", action="store_true")
@@ -78,8 +79,8 @@
     write_zones_page(arguments.folder, arguments.read)
 
 
-def play_zone_scenarios(folder: Path) -> None:
-    """Play the scenarios of zones with the fleet on, and some of them with it off."""
+def run_zone_scenarios(folder: Path) -> None:
+    """Run the zone scenarios with the fleet on, and some of them also with it off."""
     for scenario in (scenario for scenario in SCENARIOS if not scenario.has_admission):
         play(scenario, folder / f"{scenario.name}-on")
         if scenario.name in COMPARED_SCENARIOS:
@@ -87,9 +88,9 @@
 
 
 def write_zones_page(folder: Path, reads_only: bool) -> None:
-    """Write the page on zones, and its chart."""
+    """Write the page on zones and its chart."""
     if not reads_only:
-        play_zone_scenarios(folder)
+        run_zone_scenarios(folder)
     lines = [
         "# Zones on real processes: measured",
         "",
@@ -110,11 +111,11 @@
     for scenario in SCENARIOS:
         if run := read_run(folder, f"{scenario.name}-on"):
             fault_at = run[1]["begun_unix"] + scenario.outage_at_s
-            left_after_s, wrong_departures = departure_times(
+            evacuated_after_s, false_evacuations = evacuation_times(
                 folder / f"{scenario.name}-on", fault_at, scenario
             )
-            cells = ", ".join(f"{name} {t:.1f}" for name, t in sorted(left_after_s.items()))
-            lines.append(f"| {scenario.name} | {cells or 'none'} | {wrong_departures or ''} |")
+            cells = ", ".join(f"{name} {t:.1f}" for name, t in sorted(evacuated_after_s.items()))
+            lines.append(f"| {scenario.name} | {cells or 'none'} | {false_evacuations or ''} |")
     findings = [f"{name}: {finding}" for name, verdict in rows for finding in verdict.findings[:3]]
     lines += ["", "## What the judge found", "", *([f"- {f}" for f in findings] or ["Nothing."]), ""]
     (MEASUREMENTS / "zones.md").write_text("\n".join(lines))
@@ -122,7 +123,7 @@
 
 
 def write_overload_page(folder: Path, reads_only: bool) -> None:
-    """Write the page on overload, from its scenarios with admission and without."""
+    """Write the page on overload, from its scenarios with and without admission control."""
     scenarios = [scenario for scenario in SCENARIOS if scenario.has_admission]
     columns = ["worth", "worth_out", "worth_after_5s", "served_dear", "served_cheap"]
     columns += ["unlike_between_instances", "attempts_per_served", "p99_ms"]
@@ -153,10 +154,14 @@
     (MEASUREMENTS / "overload.md").write_text("\n".join([*lines, ""]))
 
 
-def departure_times(folder: Path, fault_at: float, scenario: Scenario) -> tuple[dict[str, float], int]:
-    """Return when each instance left the failing zone by its own log, in seconds from the fault, and how
-    often any left a zone that was well."""
-    left_after_s, wrong_departures = dict[str, float](), 0
+def evacuation_times(folder: Path, fault_at: float, scenario: Scenario) -> tuple[dict[str, float], int]:
+    """Read the logs of a run for evacuations.
+
+    Returns:
+        By instance, the seconds from the fault to its first evacuation of the failing zone; and the number of
+        evacuations of zones without a fault.
+    """
+    evacuated_after_s, false_evacuations = dict[str, float](), 0
     failing_zones = {scenario.failing_zone} | {
         fault.target for fault in scenario.faults if fault.target in scenario.zones
     }
@@ -164,11 +169,11 @@
         for line in log.read_text().splitlines():
             if " event=zone_phase_changed " in line and " phase=out " in line:
                 if f" zone={scenario.failing_zone} " not in line:
-                    wrong_departures += not any(f" zone={zone} " in line for zone in failing_zones)
+                    false_evacuations += not any(f" zone={zone} " in line for zone in failing_zones)
                     continue
                 at = datetime.fromisoformat(line.split()[0].removeprefix("ts=")).timestamp()
-                left_after_s.setdefault(log.stem, at - fault_at)
-    return left_after_s, wrong_departures
+                evacuated_after_s.setdefault(log.stem, at - fault_at)
+    return evacuated_after_s, false_evacuations
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership/processes.py
+++ b/benchmarks/membership/processes.py
@@ -2,7 +2,7 @@
 
     python benchmarks/membership/processes.py [--rounds 20]
 
-In each round two of five are killed at once; then both are started again.
+In each round two of the five instances are killed at the same time and then started again.
 """
 
 from __future__ import annotations
@@ -23,7 +23,8 @@
 
 
 def takeover_times_ms(fleet: ProcessFleet, draw: random.Random) -> tuple[float, float]:
-    """Kill instances; return the ms until the others agree on duties, and until each engine is checked."""
+    """Kill instances; return the ms until the others agree on their duties, and until the next health check
+    of every engine."""
     killed_at = time.monotonic()
     for number in draw.sample(sorted(fleet.processes), KILLED_AT_ONCE):
         fleet.kill(number)
@@ -39,7 +40,7 @@
 
 
 def measure(rounds: int, folder: Path) -> tuple[list[tuple[float, float]], int]:
-    """The times of each round, and the engines that more than one instance checks at the end."""
+    """Return the times of each round and the number of engines that several instances check at the end."""
     draw, times_ms = random.Random(1), []
     fleet = ProcessFleet(folder, INSTANCES)
     try:
@@ -63,7 +64,7 @@
     rounds = parser.parse_args().rounds
     with tempfile.TemporaryDirectory() as folder:
         times_ms, doubly_checked = measure(rounds, Path(folder))
-    text = [
+    lines = [
         "# Takeover between real instances: measured",
         "",
         f"By `python benchmarks/membership/processes.py --rounds {rounds}`: five processes on one shared "
@@ -76,9 +77,9 @@
     events = ("survivors agree on all duties", "each engine was probed again")
     for event, values in zip(events, zip(*times_ms, strict=True), strict=True):
         p50, p99 = np.percentile(values, [50, 99])
-        text.append(f"| {event} | {p50:.0f} | {p99:.0f} | {max(values):.0f} |")
-    text += ["", f"At the end {doubly_checked} engines were probed by more than one instance.", ""]
-    OUTPUT.write_text("\n".join(text))
+        lines.append(f"| {event} | {p50:.0f} | {p99:.0f} | {max(values):.0f} |")
+    lines += ["", f"At the end {doubly_checked} engines were probed by more than one instance.", ""]
+    OUTPUT.write_text("\n".join(lines))
     print(OUTPUT.read_text())
 
 
--- a/benchmarks/membership/run.py
+++ b/benchmarks/membership/run.py
@@ -2,8 +2,8 @@
 
     python benchmarks/membership/run.py [--seeds 1000] [--jobs 8] [--large]
 
-Nothing opens a socket: the cores run on the emulated network, so the figures do not depend on the machine,
-but for those named CPU.
+The members run on an emulated network without sockets, so only the CPU times and the times of
+reassignment depend on the machine.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements"
 EPOCH = 10_000_000
-SMALL_SIZE, MEDIUM_SIZE, LARGE_SIZE = 5, 50, 500  # members
+SMALL_SIZE, MEDIUM_SIZE, LARGE_SIZE = 5, 50, 500  # numbers of members
 KILL_LOSSES, CALM_LOSSES = (0.0, 0.1, 0.3), (0.0, 0.1, 0.3)
 JOIN_MS, TAKEOVER_MS = 20_000.0, 10_000.0
 CALM_SECONDS, CALM_SECONDS_LARGE = 120.0, 20.0
@@ -41,14 +41,14 @@
 
 
 class Instance:
-    """One core on the network; notes when a member was called dead here."""
+    """A member on the emulated network; records when it regards other members as dead."""
 
     def __init__(self, swim: Swim) -> None:
         self.swim = swim
-        self.deaths: list[tuple[float, int]] = []  # time and member
+        self.deaths: list[tuple[float, int]] = []  # time in ms, and id of the member
 
     def step(self, now: float, received: list[Datagram]) -> Iterable[Datagram]:
-        """See Process."""
+        """Process received datagrams; return datagrams to send with their targets."""
         sent = []
         for action in self.swim.step(now, [DatagramReceived(data, sender) for data, sender in received]):
             if isinstance(action, SendDatagram):
@@ -58,13 +58,21 @@
         return sent
 
     def next_at(self) -> float:
-        """See Process."""
+        """Return the time by which the next step is due."""
         return self.swim.next_at()
 
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """One run: how many members, the share of datagrams lost, with Lifeguard or without, and kills."""
+    """The settings of a run.
+
+    Attributes:
+        seed: Seed of the network's random generator.
+        size: Number of members.
+        loss: Share of datagrams that are lost.
+        uses_lifeguard: Whether members use the Lifeguard extensions.
+        kills: Number of members that `measure_takeover` kills at the same time.
+    """
 
     seed: int
     size: int
@@ -74,7 +82,13 @@
 
 
 class Takeover(NamedTuple):
-    """Times from a death until each survivor knows of it, and how often living members were called dead."""
+    """The result of a run in which members are killed.
+
+    Attributes:
+        run: The settings.
+        times_ms: Time from each kill until each survivor detects it; infinite if it does not.
+        false_deaths: Number of times that a member regarded a living one as dead.
+    """
 
     run: Run
     times_ms: list[float]
@@ -82,7 +96,14 @@
 
 
 class CalmRun(NamedTuple):
-    """False deaths an hour, bytes a second and CPU microseconds a second, of each member."""
+    """The result of a run in which nobody is killed, as means per member.
+
+    Attributes:
+        run: The settings.
+        false_deaths: Number of living members regarded as dead, per hour.
+        sent_bytes: Bytes sent per second.
+        cpu_us: CPU time used per second, in microseconds.
+    """
 
     run: Run
     false_deaths: float
@@ -90,8 +111,8 @@
     cpu_us: float
 
 
-def make_fleet(run: Run) -> tuple[Network, list[Instance], list[Address]]:
-    """Members that have joined, on a network that loses datagrams from now on."""
+def make_joined_members(run: Run) -> tuple[Network, list[Instance], list[Address]]:
+    """Return members that have joined without loss; the network loses datagrams from now on."""
     network = Network(run.seed, loss=0.0)
     settings = replace(SwimSettings(), uses_lifeguard=run.uses_lifeguard)
     addresses = [Address(f"10.{i // 60000}.{i // 250 % 240}.{i % 250 + 1}", 7946) for i in range(run.size)]
@@ -107,8 +128,8 @@
 
 
 def measure_takeover(run: Run) -> Takeover:
-    """Kill members at once, and see when the survivors know."""
-    network, instances, addresses = make_fleet(run)
+    """Kill members at the same time and measure when the survivors detect it."""
+    network, instances, addresses = make_joined_members(run)
     network.run(network.now + 1000 * network.draw.random())
     killed = network.draw.sample(range(run.size), run.kills)
     killed_ids = {member_id(f"n{i}") for i in killed}
@@ -120,18 +141,18 @@
     for i, instance in enumerate(instances):
         if i in killed:
             continue
-        known_after: dict[int, float] = {}
+        detected_after_ms: dict[int, float] = {}
         for at, member in instance.deaths:
             if at >= killed_at:
-                known_after.setdefault(member, at - killed_at)
-        times_ms += [known_after.get(member, float("inf")) for member in killed_ids]
+                detected_after_ms.setdefault(member, at - killed_at)
+        times_ms += [detected_after_ms.get(member, float("inf")) for member in killed_ids]
         false_deaths += sum(member not in killed_ids for _, member in instance.deaths)
     return Takeover(run, times_ms, false_deaths)
 
 
 def measure_calm(run: Run) -> CalmRun:
-    """Count false deaths and costs while nobody dies."""
-    network, instances, _ = make_fleet(run)
+    """Measure false deaths and costs while no member is killed."""
+    network, instances, _ = make_joined_members(run)
     for instance in instances:
         instance.deaths.clear()
     sent_before = network.sent_bytes
@@ -149,7 +170,7 @@
 
 
 def measure_reassignment(members: int, subjects: int) -> tuple[float, float]:
-    """Ms to take one member out and in again, and ms to do the same by scoring all pairs."""
+    """Return the ms to remove or add one member, and the ms to reassign all subjects by scoring all pairs."""
     shares = Rendezvous()
     for member in range(1, members + 1):
         shares.add_member(member)
@@ -167,29 +188,29 @@
     return incremental_ms, (time.perf_counter() - started_at) * 1000
 
 
-def takeover_runs(seeds: int, with_large: bool) -> list[Run]:
-    """The runs in which members are killed."""
+def takeover_runs(seeds: int, includes_large: bool) -> list[Run]:
+    """Return the runs in which members are killed."""
     runs = [Run(seed, SMALL_SIZE, loss) for loss in KILL_LOSSES for seed in range(seeds)]
     runs += [Run(seed, MEDIUM_SIZE, loss) for loss in (0.0, 0.3) for seed in range(max(seeds // 50, 2))]
-    if with_large:
+    if includes_large:
         runs += [Run(seed, LARGE_SIZE, 0.0) for seed in range(max(seeds // 500, 1))]
     return runs
 
 
-def calm_runs(seeds: int, with_large: bool) -> list[Run]:
-    """The runs in which nobody dies."""
+def calm_runs(seeds: int, includes_large: bool) -> list[Run]:
+    """Return the runs in which no member is killed."""
     runs = [
         Run(seed, SMALL_SIZE, loss, uses_lifeguard)
         for loss in CALM_LOSSES
         for uses_lifeguard in (True, False)
         for seed in range(max(seeds // 20, 2))
     ]
-    sizes = (MEDIUM_SIZE, LARGE_SIZE) if with_large else (MEDIUM_SIZE,)
+    sizes = (MEDIUM_SIZE, LARGE_SIZE) if includes_large else (MEDIUM_SIZE,)
     return runs + [Run(seed, size) for size in sizes for seed in range(2)]
 
 
 def takeover_section(takeovers: list[Takeover], axes: Axes) -> list[str]:
-    """A table of takeover times by size and loss, and their distribution as a plot."""
+    """Return a table of detection times by size and loss; plot their distribution."""
     lines = [
         "## From a death to each survivor's knowing it",
         "",
@@ -197,13 +218,13 @@
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
     for size, loss in sorted({(t.run.size, t.run.loss) for t in takeovers}):
-        alike = [t for t in takeovers if (t.run.size, t.run.loss) == (size, loss)]
-        times_ms = np.array([time_ms for t in alike for time_ms in t.times_ms])
+        matching = [t for t in takeovers if (t.run.size, t.run.loss) == (size, loss)]
+        times_ms = np.array([time_ms for t in matching for time_ms in t.times_ms])
         p50, p99 = np.percentile(times_ms, [50, 99])
         slow = int((times_ms > SLOW_TAKEOVER_MS).sum())
         lines.append(
-            f"| {size} | {loss:.0%} | {len(alike)} | {p50:.0f} | {p99:.0f} | {times_ms.max():.0f} | "
-            f"{slow} of {len(times_ms)} | {sum(t.false_deaths for t in alike)} |"
+            f"| {size} | {loss:.0%} | {len(matching)} | {p50:.0f} | {p99:.0f} | {times_ms.max():.0f} | "
+            f"{slow} of {len(times_ms)} | {sum(t.false_deaths for t in matching)} |"
         )
         ordered = np.sort(times_ms)
         axes.plot(ordered, np.arange(1, len(ordered) + 1) / len(ordered), label=f"{size}, {loss:.0%} lost")
@@ -213,7 +234,7 @@
 
 
 def false_deaths_section(calm: list[CalmRun], axes: Axes) -> list[str]:
-    """A table of false deaths by loss, with Lifeguard and without, and the same as bars."""
+    """Return a table of false deaths by loss, with and without Lifeguard; draw the same as bars."""
     lines = [
         "## Wrong deaths on a day without deaths",
         "",
@@ -224,8 +245,8 @@
     for loss in CALM_LOSSES:
         for uses_lifeguard in (True, False):
             conditions = SMALL_SIZE, loss, uses_lifeguard
-            alike = [c for c in calm if (c.run.size, c.run.loss, c.run.uses_lifeguard) == conditions]
-            mean = float(np.mean([c.false_deaths for c in alike]))
+            matching = [c for c in calm if (c.run.size, c.run.loss, c.run.uses_lifeguard) == conditions]
+            mean = float(np.mean([c.false_deaths for c in matching]))
             means[uses_lifeguard].append(mean)
             lines.append(f"| {loss:.0%} | {'on' if uses_lifeguard else 'off'} | {mean:.1f} |")
     positions = np.arange(len(CALM_LOSSES))
@@ -243,7 +264,7 @@
 
 
 def cost_section(calm: list[CalmRun]) -> list[str]:
-    """A table of bytes and CPU by size."""
+    """Return a table of bytes sent and CPU time by the number of members."""
     lines = [
         "## Cost of a quiet second",
         "",
@@ -251,14 +272,14 @@
         "| --- | --- | --- |",
     ]
     for size in sorted({c.run.size for c in calm}):
-        alike = [c for c in calm if c.run.size == size and c.run.loss == 0.0 and c.run.uses_lifeguard]
-        sent_bytes = np.mean([c.sent_bytes for c in alike])
-        lines.append(f"| {size} | {sent_bytes:.0f} | {np.mean([c.cpu_us for c in alike]):.0f} |")
+        matching = [c for c in calm if c.run.size == size and c.run.loss == 0.0 and c.run.uses_lifeguard]
+        sent_bytes = np.mean([c.sent_bytes for c in matching])
+        lines.append(f"| {size} | {sent_bytes:.0f} | {np.mean([c.cpu_us for c in matching]):.0f} |")
     return lines
 
 
 def reassignment_section() -> list[str]:
-    """A table of what a change of members costs."""
+    """Return a table of the cost of adding or removing a member."""
     lines = [
         "## One member out or in",
         "",
@@ -271,21 +292,21 @@
     return lines
 
 
-def write(seeds: int, takeovers: list[Takeover], calm: list[CalmRun]) -> None:
+def write_page(seeds: int, takeovers: list[Takeover], calm: list[CalmRun]) -> None:
     """Write the page and its figure."""
     OUTPUT.mkdir(parents=True, exist_ok=True)
-    figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 3.6))
+    figure, (takeover_axes, false_deaths_axes) = pyplot.subplots(1, 2, figsize=(10, 3.6))
     lines = [
         "# Membership: measured",
         "",
         f"By `python benchmarks/membership/run.py --seeds {seeds}`, in virtual "
         "time: one-way delay 0.2 to 2 ms, two members killed at once, default settings.",
         "",
-        *takeover_section(takeovers, left),
+        *takeover_section(takeovers, takeover_axes),
         "",
         "![takeover and wrong deaths](membership.svg)",
         "",
-        *false_deaths_section(calm, right),
+        *false_deaths_section(calm, false_deaths_axes),
         "",
         *cost_section(calm),
         "",
@@ -298,17 +319,17 @@
 
 
 def main() -> None:
-    """Run all, write the page and print it."""
+    """Run all cases, write the page and print it."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--jobs", type=int, default=8)
     parser.add_argument("--large", action="store_true", help="also 500 members, which takes many minutes")
     arguments = parser.parse_args()
-    seeds, with_large = arguments.seeds, arguments.large
+    seeds, includes_large = arguments.seeds, arguments.large
     with multiprocessing.Pool(arguments.jobs) as pool:
-        takeovers = pool.map(measure_takeover, takeover_runs(seeds, with_large), chunksize=4)
-        calm = pool.map(measure_calm, calm_runs(seeds, with_large), chunksize=1)
-    write(seeds, takeovers, calm)
+        takeovers = pool.map(measure_takeover, takeover_runs(seeds, includes_large), chunksize=4)
+        calm = pool.map(measure_calm, calm_runs(seeds, includes_large), chunksize=1)
+    write_page(seeds, takeovers, calm)
     print((OUTPUT / "membership.md").read_text())
 
 
--- a/benchmarks/store/run.py
+++ b/benchmarks/store/run.py
@@ -1,12 +1,13 @@
-"""What durability costs: latency from put to done, and loads a second, by how many wait at the same time.
+"""Measures the latency and throughput of durable writes, by the number of concurrent callers.
 
     python benchmarks/store/run.py FOLDER [--seconds 2] [--rounds 3]
     python benchmarks/store/run.py FOLDER --syncs
 
-Each of so many callers puts one load's record of 130 bytes and puts the next once it is told `done`; one
-writer takes all that wait into one transaction with a full sync. All storages do the same work: the record
-and a row of proof. `ledger` is the product's own, whole. Prints a table in Markdown; the storages take
-turns, so that the machine's moods fall on all of them.
+Each caller writes one load's record of 130 bytes at a time and the next one once it is durable. One writer
+commits all waiting records in one transaction with a full sync. Each transaction of every storage writes the
+records and increments a counter in the row `proof`. `ledger` is the complete ledger of the dispatcher. Prints
+a table in Markdown. The storages are measured in alternation, so that changes in the machine's other load
+affect all of them alike. With --syncs it prints how often SQLite syncs and writes per transaction.
 """
 
 from __future__ import annotations
@@ -33,27 +34,34 @@
 COUNTED_TRANSACTIONS = 100
 LEDGER = "ledger"
 Commit = Callable[[list[Record]], None]
-OnDone = Callable[[bool], None]
-Put = Callable[[Record, OnDone], None]
+OnWritten = Callable[[bool], None]
+Put = Callable[[Record, OnWritten], None]
 
 
 def make_record(number: int) -> Record:
-    """A load's record as the product writes it."""
+    """Return a load's record as the dispatcher writes it."""
     return LoadRecord(
         number.to_bytes(16, "big"), "r" * 32, "k" * 24, b"d" * 16, "engine-1", 1, 1.0, LoadState.SENT
     ).to_record()
 
 
 def open_sqlite(folder: Path, journal: str, log_bytes: int = 0, vfs: str | None = None) -> Commit:
-    """SQLite with a full sync under this journal; the write-ahead log is filled up to `log_bytes` first."""
+    """Open an SQLite database with full sync; return the function that commits a batch.
+
+    Args:
+        folder: Folder of the database.
+        journal: SQLite's journal mode.
+        log_bytes: Size to which the write-ahead log is extended first; 0 to leave it.
+        vfs: Name of SQLite's virtual file system; None for the default one.
+    """
     path = folder / "x.db"
-    db = apsw.Connection(str(path), vfs=vfs)
-    db.execute("PRAGMA locking_mode = EXCLUSIVE")
-    db.execute(f"PRAGMA journal_mode = {journal}")
-    db.execute("PRAGMA synchronous = FULL")
-    db.execute("CREATE TABLE record (key BLOB PRIMARY KEY, value BLOB) WITHOUT ROWID")
-    db.execute("CREATE TABLE proof (one INTEGER PRIMARY KEY, turn INTEGER)")
-    db.execute("INSERT INTO proof VALUES (1, 0)")
+    database = apsw.Connection(str(path), vfs=vfs)
+    database.execute("PRAGMA locking_mode = EXCLUSIVE")
+    database.execute(f"PRAGMA journal_mode = {journal}")
+    database.execute("PRAGMA synchronous = FULL")
+    database.execute("CREATE TABLE record (key BLOB PRIMARY KEY, value BLOB) WITHOUT ROWID")
+    database.execute("CREATE TABLE proof (one INTEGER PRIMARY KEY, turn INTEGER)")
+    database.execute("INSERT INTO proof VALUES (1, 0)")
     if log_bytes:
         with open(f"{path}-wal", "r+b") as log:
             log.seek(0, os.SEEK_END)
@@ -61,16 +69,19 @@
             os.fsync(log.fileno())
 
     def commit(batch: list[Record]) -> None:
-        with db:
-            db.executemany("INSERT OR REPLACE INTO record VALUES (?, ?)", [(r.key, r.value) for r in batch])
-            db.execute("UPDATE proof SET turn = turn + 1")
+        with database:
+            database.executemany(
+                "INSERT OR REPLACE INTO record VALUES (?, ?)", [(r.key, r.value) for r in batch]
+            )
+            database.execute("UPDATE proof SET turn = turn + 1")
 
     return commit
 
 
 def open_lmdb(folder: Path) -> Commit:
-    """LMDB as it syncs by default: data and meta page in each transaction."""
-    # Not a dependency: pip install lmdb==3.0.0
+    """Open an LMDB environment that syncs data and meta page in each transaction; return the function that
+    commits a batch."""
+    # lmdb is not a dependency of the project: pip install lmdb==3.0.0
     environment = importlib.import_module("lmdb").open(str(folder), map_size=1 << 28)
     transactions = 0
 
@@ -85,7 +96,7 @@
     return commit
 
 
-STORES: dict[str, Callable[[Path], Commit]] = {
+STORAGE_OPENERS: dict[str, Callable[[Path], Commit]] = {
     "SQLite, rollback, deleted": lambda folder: open_sqlite(folder, "DELETE"),
     "SQLite, rollback, kept": lambda folder: open_sqlite(folder, "PERSIST"),
     "SQLite, WAL": lambda folder: open_sqlite(folder, "WAL"),
@@ -95,25 +106,25 @@
 
 
 class GroupWriter:
-    """The product's writer without its guards: one thread, all that waits in one transaction."""
+    """Writes like the ledger, without its limits: one thread commits all waiting records at a time."""
 
-    def __init__(self, open_store: Callable[[Path], Commit], folder: Path) -> None:
-        self.open_store, self.folder = open_store, folder
-        self.pending: queue.SimpleQueue[tuple[Record, OnDone] | None] = queue.SimpleQueue()
+    def __init__(self, open_storage: Callable[[Path], Commit], folder: Path) -> None:
+        self.open_storage, self.folder = open_storage, folder
+        self.pending: queue.SimpleQueue[tuple[Record, OnWritten] | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._run)
         self.thread.start()
 
-    def put(self, record: Record, on_done: OnDone) -> None:
-        """As Ledger.put."""
-        self.pending.put((record, on_done))
+    def put(self, record: Record, on_written: OnWritten) -> None:
+        """Queue a record; the callback is called in the writer's thread once the record is durable."""
+        self.pending.put((record, on_written))
 
     def close(self) -> None:
-        """End the thread."""
+        """Write what is queued and end the thread."""
         self.pending.put(None)
         self.thread.join()
 
     def _run(self) -> None:
-        commit, is_closing = self.open_store(self.folder), False
+        commit, is_closing = self.open_storage(self.folder), False
         while not is_closing:
             entries = [self.pending.get()]
             while not self.pending.empty():
@@ -122,33 +133,33 @@
             is_closing = len(group) < len(entries)
             if group:
                 commit([record for record, _ in group])
-            for _, on_done in group:
-                on_done(True)
+            for _, on_written in group:
+                on_written(True)
 
 
 class Callers:
-    """Callers that each put one record after another for a while."""
+    """Concurrent callers that each write one record after another for a limited time."""
 
     def __init__(self, put: Put, count: int, seconds: float) -> None:
         self.put, self.count = put, count
         self.latencies_ms: list[float] = []
         self._numbers = iter(range(1, 1 << 40))
-        self._lock, self._all_ended = threading.Lock(), threading.Event()
+        self._lock, self._all_callers_ended = threading.Lock(), threading.Event()
         self._running = count
         self._end = time.perf_counter() + seconds
 
     def run(self) -> tuple[list[float], float]:
-        """Return the latencies in ms, and loads a second."""
+        """Run the callers to their end; return the latencies in ms and the loads per second."""
         started_at = time.perf_counter()
         for _ in range(self.count):
             self._put_next()
-        self._all_ended.wait()
+        self._all_callers_ended.wait()
         return self.latencies_ms, len(self.latencies_ms) / (time.perf_counter() - started_at)
 
     def _put_next(self) -> None:
         started_at = time.perf_counter()
 
-        def on_done(is_durable: bool) -> None:
+        def on_written(is_durable: bool) -> None:
             assert is_durable
             now = time.perf_counter()
             self.latencies_ms.append((now - started_at) * 1000.0)
@@ -157,29 +168,31 @@
             else:
                 self._on_caller_ended()
 
-        self.put(make_record(next(self._numbers)), on_done)
+        self.put(make_record(next(self._numbers)), on_written)
 
     def _on_caller_ended(self) -> None:
         with self._lock:
             self._running -= 1
             if not self._running:
-                self._all_ended.set()
+                self._all_callers_ended.set()
 
 
 def measure(name: str, callers: int, folder: Path, seconds: float) -> tuple[list[float], float]:
-    """Latencies in ms and loads a second of one storage and number of callers, in a fresh folder."""
+    """Measure a storage in an empty folder; return the latencies in ms and the loads per second."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     try:
         if name != LEDGER:
-            writer = GroupWriter(STORES[name], folder)
+            writer = GroupWriter(STORAGE_OPENERS[name], folder)
             try:
                 return Callers(writer.put, callers, seconds).run()
             finally:
                 writer.close()
         ledger = Ledger.open(folder, "a", settings=LedgerSettings(stall_timeout_ms=60_000.0))
         try:
-            return Callers(lambda record, on_done: ledger.put([record], on_done), callers, seconds).run()
+            return Callers(
+                lambda record, on_written: ledger.put([record], on_written), callers, seconds
+            ).run()
         finally:
             ledger.close(True)
     finally:
@@ -187,7 +200,7 @@
 
 
 def print_syncs(folder: Path) -> None:
-    """How often SQLite waits for the disk in a transaction, counted by the emulated disk."""
+    """Print how often SQLite syncs and writes per transaction, counted by the emulated disk."""
     print("| journal | syncs a transaction | writes a transaction |\n| --- | --- | --- |")
     for journal in ("DELETE", "TRUNCATE", "PERSIST", "WAL"):
         journal_folder = folder / journal
@@ -204,8 +217,8 @@
 
 
 def print_latencies(folder: Path, rounds: int, seconds: float) -> None:
-    """Latency and throughput of all storages, by the number of callers."""
-    names = [*STORES, LEDGER]
+    """Print the latency and throughput of all storages, by the number of callers."""
+    names = [*STORAGE_OPENERS, LEDGER]
     print("| storage | callers | p50 ms | p99 ms | loads/s | loads/s, lowest to highest |")
     print("| --- | --- | --- | --- | --- | --- |")
     for callers in CALLER_COUNTS:
@@ -225,7 +238,7 @@
 
 
 def main() -> None:
-    """See the module."""
+    """Run the measurement that the arguments select."""
     parser = argparse.ArgumentParser()
     parser.add_argument("folder", type=Path)
     parser.add_argument("--seconds", type=float, default=2.0)
