--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -32,7 +32,7 @@
 # Requests are compared with those that arrived in the same time slot, instances by groups in order of start.
 SLOT_MS, GROUPS = 500.0, 5
 SHUFFLES = 20
-# Least number of requests of a class for which a group is compared, in one run and over all runs.
+# Minimum number of requests of a class for a group to be compared, in one run and over all runs.
 MIN_GROUP_REQUESTS_PER_RUN, MIN_GROUP_REQUESTS_OVER_RUNS = 10, 50
 WEIGHTS = (1.0, 1.0, 1.0, 2.0, 3.0)
 WITHOUT_RAMP, WITH_RAMP = "before", "ramp"
@@ -145,7 +145,7 @@
     world = make_world(case, instances, seed, has_slow_start)
     world.run(case.until)
     power_at = world.plan.power_returned_at(case.until)
-    returned_at = power_at + abs(case.engines_after_ms)  # both engines and instances
+    returned_at = power_at + abs(case.engines_after_ms)  # when both engines and instances are back
     warm_at = power_at + max(case.engines_after_ms, 0.0) + world.plan.warmup_ms + 1000.0
     ends = [returned_at + 1000.0 * second for second in range(6)]
     possible = [world.possible_utility(power_at, end) for end in ends]
--- a/benchmarks/store/run.py
+++ b/benchmarks/store/run.py
@@ -106,7 +106,7 @@
 
 
 class GroupWriter:
-    """Writes like the ledger, without its limits: one thread commits all waiting records at a time."""
+    """Writes like the ledger, without its limits: one thread commits all waiting records together."""
 
     def __init__(self, open_storage: Callable[[Path], Commit], folder: Path) -> None:
         self.open_storage, self.folder = open_storage, folder
