--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -9,6 +9,7 @@
 import json
 import os
 import signal
+import socket
 import ssl
 import subprocess
 import sys
@@ -27,6 +28,7 @@
 from cottonhold.emulator.consul.script import parse
 from cottonhold.emulator.consul.server import Server
 from cottonhold.emulator.engine import StandInEngine
+from cottonhold.emulator.process_fleet import free_ports
 from cottonhold.node.consul_client import LoopLagMeter
 from cottonhold.node.standalone.dispatcher import StandaloneDispatcher
 from cottonhold.observe.structured import StructuredLog
@@ -531,13 +533,6 @@
     run_scenario(tmp_path, scenario)
 
 
-def free_port() -> int:
-    import socket
-
-    with socket.create_server(("127.0.0.1", 0)) as spare:
-        return int(spare.getsockname()[1])
-
-
 def test_the_command_serves_reloads_and_shuts_down_gracefully(tmp_path: Path) -> None:
     """The whole program as operators run it: emulators, `serve --config`, SIGHUP and SIGTERM."""
     program = [sys.executable, "-m", "cottonhold.cli.main"]
@@ -571,7 +566,7 @@
         path = tmp_path / "site.jsonnet"
         config = {
             **BASE_CONFIG,
-            "listen": f"127.0.0.1:{free_port()}",
+            "listen": f"127.0.0.1:{free_ports(1, socket.SOCK_STREAM)[0]}",
             "sources": [{**SOURCE, "addresses": [agent]}],
             "register": {"agent": agent},
         }
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -16,6 +16,7 @@
 
 from cottonhold.config.relay import load_config
 from cottonhold.discovery.model import Address
+from cottonhold.emulator.process_fleet import free_ports
 from cottonhold.node.dispatcher import MAX_NEWER_START_MS, Dispatcher
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.node.sibling_processes import ProcessRecord, SiblingProcesses
@@ -200,8 +201,7 @@
     """The new process of an upgrade may get SIGTERM early, when clients may already have connected to it."""
 
     async def scenario() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as spare:
-            listen = "{}:{}".format(*spare.getsockname())
+        listen = f"127.0.0.1:{free_ports(1, socket.SOCK_STREAM)[0]}"
         node = dispatcher(tmp_path, monkeypatch, listen=listen, **with_deadline(100.0))
         node.begin_shutdown()
         run = asyncio.create_task(node.run())
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -15,6 +15,7 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.engine import StandInEngine
+from cottonhold.emulator.process_fleet import free_ports
 from cottonhold.frontend.client_sessions import ClientSessions
 from cottonhold.frontend.connection_ids import ConnectionIdRange
 from cottonhold.node.descriptors import MIN_QUOTA, SIBLING_OVERHEAD, DescriptorQuotas
@@ -140,8 +141,7 @@
 
     async def scenario() -> list[int]:
         event_loops = [EventLoop(asyncio.get_running_loop(), Counters(), print) for _ in range(2)]
-        with socket.create_server(("127.0.0.1", 0)) as spare:
-            at = Address("127.0.0.1", spare.getsockname()[1])
+        at = Address("127.0.0.1", free_ports(1, socket.SOCK_STREAM)[0])
         older, newer = [event_loop.listener.listen(at, is_shared=True) for event_loop in event_loops]
         datagram_sockets = [event_loop.datagrams.open(at) for event_loop in event_loops]
         counts = []
@@ -241,10 +241,7 @@
 
 @asynccontextmanager
 async def running_site(folder: Path, work_ms: float) -> AsyncIterator[UpgradeSite]:
-    spare = [socket.create_server(("127.0.0.1", 0)) for _ in range(7)]
-    addresses = ["{}:{}".format(*sock.getsockname()) for sock in spare]
-    for sock in spare:
-        sock.close()
+    addresses = [f"127.0.0.1:{port}" for port in free_ports(7, socket.SOCK_STREAM)]
     engine = StandInEngine("s-1", work_ms)
     await engine.start("127.0.0.1", int(addresses[2].rpartition(":")[2]))
 
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -13,6 +13,7 @@
 
 from cottonhold.backend.resp import decode_fields, encode_array
 from cottonhold.emulator.engine import StandInEngine
+from cottonhold.emulator.process_fleet import free_ports
 from tests.node.test_small_parts import CONFIG, ENTRY, write
 from tests.support.scenario import LOGIN, packet
 
@@ -103,10 +104,7 @@
         shuts_down: Whether the dispatcher gets SIGTERM once the first request is in flight.
     """
     engine = RecordingEngine()
-    ports = []
-    for _ in range(2):
-        with socket.create_server(("127.0.0.1", 0)) as spare:
-            ports.append(spare.getsockname()[1])
+    ports = free_ports(2, socket.SOCK_STREAM)
     await engine.start("127.0.0.1", ports[0])
     started = int((time.time() - age_s) * 1000)
     entry = {**ENTRY, "hostPort": f"127.0.0.1:{ports[0]}", "machineType": "a", "startedAtMs": started}
