--- a/cottonhold/config/consistency.py
+++ b/cottonhold/config/consistency.py
@@ -1,5 +1,4 @@
-"""Checks that the fields of a configuration file don't contradict each other; without I/O.
-
+"""Checks that the fields of a configuration file don't contradict each other. Does no I/O.
 The types and ranges of single fields are checked earlier, by `config.decode`.
 """
 
@@ -22,7 +21,7 @@
 from cottonhold.fleet.zone_failover.messages import MAX_ZONES, zone_number
 
 MAX_MEMBER_NAME_BYTES = 32
-MIN_VOTERS = 3  # fewer have no majority after the loss of one
+MIN_VOTERS = 3  # with fewer, no majority remains after the loss of one voter
 
 
 def check_consistency(file: ConfigFile, report: ReportProblem) -> None:
@@ -38,9 +37,9 @@
     if file.peers is not None:
         _check_peers(file.peers, file, report)
     if file.state_dir and file.membership is None and file.dispatcher_count > 1:
-        report(("state_dir",), "needs membership: the others have to be asked what they remember")
+        report(("state_dir",), "needs membership: the others have to be asked which loads they recorded")
     if file.has_metrics and not file.status_socket:
-        report(("metrics",), "needs status_socket, where they are asked for")
+        report(("metrics",), "needs status_socket, which serves the metrics")
     if file.registration is not None:
         _check_registration(file.registration, report)
     if file.membership is not None:
@@ -77,11 +76,11 @@
     if section.is_load and section.idempotency == "safe":
         report((*path, "effect"), "a load must not be 'safe': it would be sent again though it may have run")
     if section.idempotency == "keyed" and not section.deduplication_window_ms:
-        report((*path, "window_ms"), "is missing: a keyed class repeats only within a window")
+        report((*path, "window_ms"), "is missing: a keyed class repeats queries only within this window")
     if section.idempotency != "keyed" and section.deduplication_window_ms:
         report((*path, "window_ms"), f"has no meaning where effect is '{section.idempotency}'")
     if section.completed_retry_answer == "served" and not file.state_dir:
-        report((*path, "again"), "needs state_dir: without it nobody knows what has run")
+        report((*path, "again"), "needs state_dir, which holds the record of completed queries")
     for zone in section.zones or ():
         if zone not in file.zones:
             report((*path, "zones"), f"'{zone}' isn't in zones")
@@ -136,10 +135,10 @@
 
 def _check_sources(file: ConfigFile, report: ReportProblem) -> None:
     if not file.sources and not file.initial_engines:
-        report(("sources",), "no source and no known engine: nothing could ever be served")
+        report(("sources",), "no source and no known engine: no query could be served")
     event_streams = [i for i, source in enumerate(file.sources) if not isinstance(source, ConsulConfig)]
     for i in event_streams[1:]:
-        report(("sources", i), f"only one event bus can be followed; sources[{event_streams[0]}] is one")
+        report(("sources", i), f"only one event bus is supported; sources[{event_streams[0]}] is one already")
     first_positions: dict[tuple[str, ...], int] = {}
     for i, source in enumerate(file.sources):
         if not isinstance(source, ConsulConfig):
@@ -148,7 +147,7 @@
         watched = (source.service, source.datacenter, source.tag, source.filter, *sorted(source.addresses))
         first = first_positions.setdefault(watched, i)
         if first != i:
-            report(("sources", i), f"watches the same as sources[{first}]")
+            report(("sources", i), f"watches the same service as sources[{first}]")
 
 
 def _check_consul_source(
@@ -168,35 +167,35 @@
 def _check_membership(membership: MembershipConfig, file: ConfigFile, report: ReportProblem) -> None:
     path: FieldPath = ("membership",)
     if file.peers is None:
-        report(path, "needs peers: its datagrams go to peers.listen and peers.all")
+        report(path, "needs peers: its datagrams are sent between the addresses in peers.all")
     elif not re.fullmatch(r"[0-9.]+:[0-9]+", announced_address(file.peers)):
         field = "announce" if file.peers.announce else "listen"
-        report(("peers", field), "must be an IPv4 address where membership is on: others are told of it")
+        report(("peers", field), "must be an IPv4 address if membership is enabled: it is sent to others")
     if len(file.name.encode()) > MAX_MEMBER_NAME_BYTES:
         report(("name",), f"is longer than the {MAX_MEMBER_NAME_BYTES} bytes that a member's name may have")
     if 2 * membership.ping_timeout_ms > membership.ping_interval_ms:
-        report((*path, "timeout_ms"), "must be half of period_ms at most, so that an indirect ping fits in")
+        report((*path, "timeout_ms"), "must be half of period_ms at most: the rest is for an indirect ping")
     key_ids = [key.key_id for key in membership.keys]
     if len(set(key_ids)) < len(key_ids):
-        report((*path, "keys"), f"use a number twice: {', '.join(map(str, key_ids))}")
+        report((*path, "keys"), f"contain a number twice: {', '.join(map(str, key_ids))}")
     if membership.send_key_id and membership.send_key_id not in key_ids:
         report((*path, "send_key"), f"{membership.send_key_id} is none of the keys")
     for i, key in enumerate(membership.keys):
         if bool(key.secret) == bool(key.secret_file):
             report((*path, "keys", i), "needs either secret or secret_file")
     if membership.voters and file.name not in membership.voters and len(membership.voters) < MIN_VOTERS:
-        report((*path, "voters"), "fewer than three voters bear no loss of one")
+        report((*path, "voters"), "has fewer than three: no majority would remain after the loss of one")
 
 
 def _check_fleet(fleet: FleetConfig, file: ConfigFile, report: ReportProblem) -> None:
     if file.membership is None:
-        report(("fleet",), "needs membership: its words travel in the same datagrams")
+        report(("fleet",), "needs membership: its messages are sent in the same datagrams")
     if len(file.zones) < 2:
-        report(("zones",), "names fewer than two: the fleet has nowhere to go")
+        report(("zones",), "names fewer than two: an evacuation needs another zone")
     if fleet.estimates_failover_cost and not (file.peers is not None and file.peers.zones):
-        report(("fleet", "outlook"), "needs peers.zones: whose clients are where has to be known")
+        report(("fleet", "outlook"), "needs peers.zones: the projection uses the zone of each dispatcher")
     if fleet.estimates_failover_cost and not fleet.sheds_load:
-        report(("fleet", "outlook"), "needs price: what requests are worth is told for it")
+        report(("fleet", "outlook"), "needs price: the projection uses the utilities that it reports")
     if fleet.has_session_affinity:
         _check_session_affinity(file, report)
     if len(file.zones) > MAX_ZONES:
@@ -212,15 +211,15 @@
     for i, zone in enumerate(file.zones):
         first = first_zones.setdefault(zone_number(zone), zone)
         if first != zone:
-            report(("zones", i), f"'{zone}' has the number of '{first}' in datagrams: rename one")
+            report(("zones", i), f"'{zone}' has the same number as '{first}' in datagrams: rename one")
 
 
 def _check_session_affinity(file: ConfigFile, report: ReportProblem) -> None:
     path = ("fleet", "pins")
     if not file.state_dir:
-        report(path, "needs state_dir: who owns a key must outlast a power loss")
+        report(path, "needs state_dir: the owners of keys must be known after a power loss")
     if file.membership is None or not file.membership.voters:
-        report(path, "needs membership.voters: a majority of them says who owns a key")
+        report(path, "needs membership.voters: a majority of them decides who owns a key")
     if file.dispatcher_count > MAX_MEMBERS:
         report(path, f"has room for {MAX_MEMBERS} dispatchers, not {file.dispatcher_count}")
 
@@ -229,12 +228,12 @@
     _check_token(("register",), registration.token, registration.token_file, report)
     if registration.max_loop_lag_ms >= registration.ttl_ms:
         report(
-            ("register", "lag_ms"), "isn't shorter than ttl_ms: the check would lapse before it could tell"
+            ("register", "lag_ms"), "isn't shorter than ttl_ms: the check would expire before a lag is found"
         )
 
 
 def _check_token(path: FieldPath, token: str, token_file: str, report: ReportProblem) -> None:
     if token and token_file:
-        report((*path, "token_file"), "is given beside token: which one counts?")
+        report((*path, "token_file"), "is given beside token: only one of them is allowed")
     if any(not 33 <= ord(c) <= 126 for c in token):
-        report((*path, "token"), "holds a blank or a sign that no header may hold")
+        report((*path, "token"), "contains a blank or a character that HTTP headers can't contain")
--- a/cottonhold/config/problems.py
+++ b/cottonhold/config/problems.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 FieldPath = tuple[str | int, ...]  # keys and list indices from the top level of the file to the field
-ReportProblem = Callable[[FieldPath, str], None]  # takes the path of a field and the reason for the problem
+ReportProblem = Callable[[FieldPath, str], None]  # called with a field's path and the reason
 
 
 @dataclass(slots=True, frozen=True, order=True)
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -39,7 +39,7 @@
 
 
 class ConfigError(Exception):
-    """A configuration can't be used; the message is one line, which is printed as it is."""
+    """A configuration can't be used; the message is one line, which is printed unchanged."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,11 +69,11 @@
         seed: Seed of the random generators.
         max_descriptors: Largest number of file descriptors that the process may use.
         admin_listen: Address of the admin API; None disables it.
-        peer_listen: Address on which messages from the other dispatchers are received; None for none.
+        peer_listen: Address on which messages from the other dispatchers are received; None to receive none.
         peers: Addresses of all dispatchers by their index.
         peers_all: Address to which messages for all other dispatchers are sent; None for none.
-        event_stream: Address of the event stream; None for none.
-        event_offset: Offset of the last event of the stream that `initial_reports` contain.
+        event_stream: Address of the event stream; None if the dispatcher follows none.
+        event_offset: Offset of the last event of the stream that `initial_reports` include.
         initial_reports: Reports of the engines that are known at the start.
         names: Names of zones and machine types, by which engine entries are decoded.
         settings: Settings of the scheduler.
@@ -122,7 +122,7 @@
 def read_file(path: str) -> bytes:
     """Return the content of a regular file of limited size.
 
-    Other files are refused, since a pipe would block and a huge file would take all memory.
+    Other files are rejected, since reading a pipe would block and a huge file would exhaust the memory.
 
     Raises:
         OSError: The file can't be read.
@@ -205,13 +205,7 @@
 
 
 def decode_config(source: Json, environ: Mapping[str, str], counters: Counters) -> Config:
-    """Decode the JSON of a configuration file.
-
-    Raises:
-        WireError: A field is missing, malformed or out of range.
-        ValueError: A setting is out of range, or the seed is not a hexadecimal number.
-        TypeError: A value has a type that the settings can't hold.
-    """
+    """Decode the JSON of a configuration file. Raises WireError, ValueError or TypeError for bad values."""
     listen = _read_address(source, "listen", environ.get("RELAY_LISTEN"))
     if listen is None:
         raise WireError("field 'listen' is missing")
--- a/cottonhold/config/schema.py
+++ b/cottonhold/config/schema.py
@@ -32,7 +32,7 @@
         deadline_ms: Time from arrival after which the client gives up, in ms.
         utility: Utility of a result within the latency objective.
         late_utility: Share of the utility, from 0 to 1, that a result after the latency objective earns.
-        latency_objective_stretch: Part of the planned run time that is added to the latency objective.
+        latency_objective_stretch: Share of the planned run time that is added to the latency objective.
         idempotency: Whether a query may be run more than once; by default it is not sent again after an
             attempt that may have run.
         deduplication_scope: Engines that drop repeats of a keyed query: all, or those of the first
@@ -76,7 +76,7 @@
 
 
 class FeaturesConfig(Section, frozen=True, kw_only=True):
-    """What the deployment permits a dispatcher to do.
+    """Operations and limits that the deployment permits a dispatcher.
 
     Attributes:
         can_cancel: Whether attempts may be cancelled.
@@ -218,18 +218,18 @@
 
 
 class SourceGuardConfig(Section, frozen=True, kw_only=True):
-    """Limits on how quickly a source's reports take engines out of service and back.
+    """Limits on how quickly a source's reports remove engines from service and return them to it.
 
     Attributes:
         min_in_service: Share of the engines, without the drained ones, that failed checks and missing
-            entries can't take out of service. When more than half fail at the same time, the cause is more
-            likely the observer than the engines.
+            entries can't take out of service. If more than half appear to fail at the same time, the observer
+            is a more likely cause than the engines.
         min_quiet_ms: Time for which an engine must stay healthy before its first return, in ms; it doubles
             with each recent failure. The default is two runs of a check with an interval of 500 ms.
         max_quiet_ms: Upper limit of the doubled time, in ms.
         flap_half_life_ms: Half-life of an engine's count of recent failures, in ms.
-        jitter: Largest part by which the time is lengthened at random, so that dispatchers which saw the
-            same failure don't all return to a cold engine at the same moment.
+        jitter: Largest share by which the time is lengthened at random, so that dispatchers that saw the
+            same failure don't all send to a returned, still cold engine at the same time.
     """
 
     min_in_service: Annotated[float, Meta(ge=0, lt=1)] = field(default=0.5, name="floor")
@@ -271,7 +271,7 @@
         filter: Consul filter expression that entries must match; empty for all.
         tag: Tag that entries must have; empty for all.
         max_wait_ms: Time for which Consul may hold back the response to a blocking query, in ms. Consul
-            allows ten minutes at most. A silently broken connection goes unnoticed for this long.
+            allows ten minutes at most. A silently broken connection is not detected for this long.
         first_byte_timeout_ms: Time after the wait within which the first byte must arrive, in ms.
         body_timeout_ms: Time from the first byte within which the response must be complete, in ms.
         min_backoff_ms: Pause after the first failure, in ms; it doubles with each further failure.
@@ -348,7 +348,7 @@
 
 
 class LogConfig(Section, frozen=True, kw_only=True):
-    """Format and rate limit of the log; `burst_lines` may be written before the limit applies."""
+    """Format and rate limit of the log; a burst of up to `burst_lines` lines may exceed the rate."""
 
     format: Literal["logfmt", "json"] = "logfmt"
     lines_per_second: Positive = field(default=20.0, name="per_second")
@@ -361,7 +361,7 @@
     Attributes:
         seed: Seed of the random generators; None for a random one at each start.
         max_descriptors: Largest number of file descriptors that the process may use.
-        dispatcher_index: Index of this dispatcher among all, from 0.
+        dispatcher_index: Index of this dispatcher among all dispatchers, from 0.
         load_report_fields: Names of the values in an engine's load report, in their order.
         state_dir: Folder of durable records, relative to the file's own folder; empty if nothing is
             persisted.
--- a/cottonhold/config/source_lines.py
+++ b/cottonhold/config/source_lines.py
@@ -43,17 +43,17 @@
 
     @property
     def is_end(self) -> bool:
-        """Whether this is the end of the template."""
+        """Return whether this token is the end of the template."""
         return self.kind == "end"
 
     @property
     def is_opening(self) -> bool:
-        """Whether this opens a bracket."""
+        """Return whether this token opens a bracket."""
         return self.kind == "mark" and self.text in OPENING
 
     @property
     def is_closing(self) -> bool:
-        """Whether this closes a bracket."""
+        """Return whether this token closes a bracket."""
         return self.kind == "mark" and self.text in CLOSING
 
 
