--- a/cottonhold/scheduler/admission.py
+++ b/cottonhold/scheduler/admission.py
@@ -18,11 +18,13 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import Idempotency
 
-SPARE_HEALTH_CHECKS = 2  # budget from which load reports are requested: suspect engines take precedence
-REMAINING_TIME_TOLERANCE = 0.02  # relative; ticks and network delay scatter the time until the deadline
+SPARE_HEALTH_CHECKS = 2  # lowest budget for requests of load reports: suspect engines take precedence
+# Relative difference up to which two times until the deadline are equal; ticks and network delay vary them.
+REMAINING_TIME_TOLERANCE = 0.02
 MAX_REMAINING_TIME_VOTES = 40  # upper limit of the vote count for the usual time until the deadline
-SETTLED_REMAINING_TIME_VOTES = MAX_REMAINING_TIME_VOTES / 4  # votes from which the usual time is trusted
-MAX_RETRIES_PER_UNSERVED = 1.5  # client retries per unserved query; includes retries from other gateways
+SETTLED_REMAINING_TIME_VOTES = MAX_REMAINING_TIME_VOTES / 4  # votes above which the usual time is valid
+# Largest expected number of client retries per unserved query; some retries come from other gateways.
+MAX_RETRIES_PER_UNSERVED = 1.5
 MIN_ADMISSION_WORK_MS = 1e-3  # work assumed for a query without known work, to avoid division by zero
 
 
@@ -67,10 +69,10 @@
 
 
 def _refresh_oldest_report(gateway: GatewayState) -> None:
-    """Request a load report from the engine with the oldest one by a health check, if the budget permits.
+    """Send a health check to the engine with the oldest load report, to request a new one.
 
     Where answers are rare, or only health checks return load reports, the load of engines would otherwise be
-    unknown. SPARE_HEALTH_CHECKS of the budget remain for suspect engines.
+    unknown. A budget below SPARE_HEALTH_CHECKS is reserved for suspect engines.
     """
     if (
         gateway.settings.features.has_health_checks
@@ -111,11 +113,11 @@
 
 
 def _first_tried_at(gateway: GatewayState, query: Query, is_marked_retry: bool) -> float:
-    """Return when the client sent its first try: now, or for a retry the earliest time it can have been.
+    """Return when the client sent its first try: now, or for a retry the earliest possible time.
 
     The latency objective is measured from the first try, so a late retry must not appear as dense as a new
-    query. A retry that is not marked is recognized by an unusual time until its deadline. It is expected only
-    as often as queries of the class went unserved.
+    query. A retry that is not marked is recognized by an unusual time until its deadline. If unusual times
+    are more frequent than unserved queries of the class can explain, they are not treated as retries.
     """
     history, now = query.class_history, gateway.now
     max_votes = None if is_marked_retry else MAX_REMAINING_TIME_VOTES
--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -20,7 +20,7 @@
 from cottonhold.scheduler.parameters import MIN_REMAINING_SHARE
 from cottonhold.scheduler.query import Query
 
-WAITS_FOR_MEMORY = 1  # value of a WAITING note for memory; another value means a load on the tables
+WAITS_FOR_MEMORY = 1  # value of a WAITING note if the attempt waits for memory, not for a load
 
 
 def on_attempt_ended(gateway: GatewayState, event: AttemptEnded) -> None:
--- a/cottonhold/scheduler/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -93,7 +93,7 @@
 
 
 def _assess_observation(gateway: GatewayState) -> None:
-    """Update how little of each engine this gateway observes, and whether peers report their work."""
+    """Update the share of the engines' state that is not observed, and whether peers report their work."""
     local_per_s = max(gateway.local_traffic.per_s(gateway.now), 1e-3)
     observation_interval_ms = 1000 * len(gateway.live_engines) / local_per_s
     silence_ms = gateway.now - gateway.work_report_received_at
@@ -129,7 +129,7 @@
     ranked = gateway.ranked_engines
     settings = gateway.settings
     first = round(settings.gateway_index * len(ranked) / settings.gateway_count)
-    fillable = len(ranked) * gateway.traffic_share  # engines that the local traffic could fill
+    fillable = len(ranked) * gateway.traffic_share  # number of engines that the local traffic could fill
     count = math.ceil(max(CANDIDATES * math.sqrt(max(1.0, fillable)), COVERAGE_FACTOR * fillable))
     rotated = ranked[first:] + ranked[:first]
     usable = (engine for engine in rotated if engine.is_usable())
@@ -158,8 +158,8 @@
     """Set this gateway's part of the capacity of the fleet and of the given engines.
 
     The part of an engine is its capacity times the traffic share. Where peers report their work, it is the
-    whole capacity, as the reported work is taken into account. As far as engines are not observed, it is
-    this gateway's part of the fleet, if that is more.
+    whole capacity, since the reported work is included in the engine's use. It is at least the unobserved
+    share of the engine's capacity, or of this gateway's part of the fleet if that is smaller.
     """
     gateway.local_thread_capacity = gateway.fleet_thread_capacity * gateway.traffic_share
     local_memory_mb = gateway.fleet_memory_capacity_mb * gateway.traffic_share
--- a/cottonhold/scheduler/class_history.py
+++ b/cottonhold/scheduler/class_history.py
@@ -61,7 +61,7 @@
         self.mean_work_ms += max(gain, 1 / self.answers_seen) * (work_ms - self.mean_work_ms)
 
     def record_memory(self, gain: float, memory_mb: float, estimated_memory_mb: float) -> None:
-        """Update the mean memory and its bias with one answer; an answer without a figure is ignored."""
+        """Update the mean memory and its bias with one answer; an answer that reports none is ignored."""
         if memory_mb > 0:
             self.mean_memory_mb += gain * (memory_mb - self.mean_memory_mb)
             if estimated_memory_mb > 0:
--- a/cottonhold/scheduler/deadlines.py
+++ b/cottonhold/scheduler/deadlines.py
@@ -40,7 +40,7 @@
 
 
 def on_shutdown_started(gateway: GatewayState, event: ShutdownStarted) -> None:
-    """Limit all deadlines to the time at which this gateway ends."""
+    """Limit all deadlines to the time at which this gateway stops."""
     gateway.deadlines.cap(event.ends_at)
 
 
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -25,10 +25,10 @@
 from cottonhold.scheduler.parameters import EJECTION_MS
 from cottonhold.scheduler.query import Query
 
-UNRESPONSIVE = (EjectionReason.SILENT, EjectionReason.HEALTH_CHECK_TIMEOUT)  # accepts work but sends nothing
+UNRESPONSIVE = (EjectionReason.SILENT, EjectionReason.HEALTH_CHECK_TIMEOUT)  # work accepted, nothing sent
 MAY_HAVE_RESTARTED = (EjectionReason.UNREACHABLE, *UNRESPONSIVE)
 MIN_SILENCE_MS = 900.0  # shorter silence is not a fault: healthy engines pause for half a second at times
-OVERDUE_FACTOR = 1.5  # run time by planned run time from which an attempt is overdue
+OVERDUE_FACTOR = 1.5  # ratio of actual to planned run time above which an attempt is overdue
 ERROR_GAIN = 0.15  # weight of one outcome in an engine's error share
 EJECTION_ERROR_SHARE = 0.35  # an engine with a larger share is ejected; healthy engines stay far below
 READMISSION_ERROR_SHARE = 0.15  # upper limit for readmission; the gap between the limits prevents flapping
@@ -103,7 +103,7 @@
     """Back off from an engine that rejected work as overloaded.
 
     The time doubles with each rejection in a row, up to EJECTION_MS. A hung engine rejects work immediately,
-    so it looks idle and would be sent ever more of it.
+    so it looks idle and would otherwise be sent more and more work.
     """
     engine.consecutive_overloads += 1
     engine.under_pressure_until = gateway.now + utilization.PRESSURE_DURATION_MS
@@ -172,8 +172,8 @@
     """Return whether queries are overdue and the engine sends neither answers nor progress notes.
 
     The cause is a hang or a lost host. A query that waits for memory is never overdue, as the engine sends no
-    progress note for it until it runs. Without progress notes a single long query looks the same as silence:
-    then this sends a health check, whose result decides, and returns false.
+    progress note for it until it runs. Without progress notes a single long query looks the same as silence.
+    In that case a health check is sent, whose result decides, and the return value is false.
     """
     overdue_from = [
         query.sent_at + OVERDUE_FACTOR * query.planned_run_ms
--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -50,13 +50,13 @@
     plan: list[Query] = field(default_factory=list)
     queued_thread_ms: float = 0.0
     queued_memory_mb_ms: float = 0.0
-    queued_load_ms: dict[int, float] = field(default_factory=dict)  # by table group: run time of queued loads
+    queued_load_ms: dict[int, float] = field(default_factory=dict)  # run time of queued loads, by table group
     in_flight: dict[str, Query] = field(default_factory=dict)
     threads_in_flight: int = 0
     memory_in_flight_mb: float = 0.0
     in_flight_by_density: InFlightByDensity = field(default_factory=InFlightByDensity)
-    loads_in_flight: dict[int, int] = field(default_factory=dict)  # by table group
-    locked_until: dict[int, float] = field(default_factory=dict)  # by table group: expected end of the locks
+    loads_in_flight: dict[int, int] = field(default_factory=dict)  # number of loads by table group
+    locked_until: dict[int, float] = field(default_factory=dict)  # expected end of the locks, by table group
     remaining_by_density: dict[float, RemainingWork] = field(default_factory=dict)
     remaining_computed_at: float = -math.inf
 
@@ -92,7 +92,7 @@
 
     # slow start and the fleet's quota
     cold_until: float = 0.0
-    allowance_ms: float = 0.0  # work that may be sent now
+    allowance_ms: float = 0.0  # work that may be sent to the engine now, in ms
     allowance_updated_at: float = 0.0
     quota_rate: float = math.inf  # ms of work per ms that the fleet permits this gateway to send
     quota_expires_at: float = math.inf
--- a/cottonhold/scheduler/estimates.py
+++ b/cottonhold/scheduler/estimates.py
@@ -9,12 +9,12 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import MemoryShortage
 
-DEFAULT_WORK_OF_OBJECTIVE = 0.25  # work by latency objective that is assumed for a class without answers
+DEFAULT_WORK_OF_OBJECTIVE = 0.25  # ratio of work to latency objective assumed for a class without answers
 # Time after the latency objective, as a share of it, over which the expected utility falls to that of a late
 # result. The fall is not a step, as finishes are only estimates.
 LATE_DECAY_OF_OBJECTIVE = 0.5
-GRANT_FACTOR_PAGING = 2.0  # memory grant by need, where unused granted memory stays available to others
-GRANT_FACTOR_RESERVING = 1.3  # memory grant by need, where granted memory is reserved
+GRANT_FACTOR_PAGING = 2.0  # ratio of grant to need where unused granted memory stays available to others
+GRANT_FACTOR_RESERVING = 1.3  # ratio of grant to need where granted memory is reserved
 
 
 def estimate(gateway: GatewayState, query: Query) -> None:
--- a/cottonhold/scheduler/events.py
+++ b/cottonhold/scheduler/events.py
@@ -21,7 +21,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a health check ended.
+    """The outcome of an attempt or a health check.
 
     Attributes:
         OK: The engine answered.
@@ -45,7 +45,7 @@
 
 
 class ProgressKind(Enum):
-    """What a progress note reports; ProgressNote describes the values."""
+    """The kind of a progress note; the docstring of ProgressNote describes the values."""
 
     PROGRESS = 1
     SPILL = 2
@@ -102,8 +102,8 @@
         tenant: Tenant of the client.
         ordering_key: Key whose queries are sent in order of arrival; None if the order does not matter.
         is_retry: Whether the client marked the query as a retry.
-        admission_draw: Random number from 0 to 1 that selects the density the query needs, see
-            AdmissionThreshold; None without admission control.
+        admission_draw: Random number from 0 to 1 that selects the density the query needs (see
+            AdmissionThreshold); None without admission control.
     """
 
     query_id: str
--- a/cottonhold/scheduler/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -83,11 +83,11 @@
     capacity_computed_at: float = -math.inf  # when the capacity of all engines was last computed
     usable_engine_count: int = 0  # number of usable live engines when capacity was last computed or changed
     candidate_pool: list[EngineView] = field(default_factory=list)  # engines that candidates are drawn from
-    assigned_engine_ids: set[str] = field(default_factory=set)  # range of engines that this gateway sends to
+    assigned_engine_ids: set[str] = field(default_factory=set)  # the engines that this gateway sends to
     assigned_engine_share: float = 1.0  # this gateway's share of the traffic to each assigned engine
     affinity_ring: list[EngineView] = field(default_factory=list)
     preferred_engines: dict[int, list[EngineView]] = field(default_factory=dict)  # for loads, by table group
-    unobserved_share: float = 1.0  # how little of each engine is observed, from 0 (all) to 1 (nothing)
+    unobserved_share: float = 1.0  # share of the engines' state that is not observed, from 0 to 1
     peer_sends_per_local: float = 0.0  # queries sent by peers per query of this gateway on the same engine
     fleet_thread_capacity: float = 1.0
     fleet_memory_capacity_mb: float = 1.0
@@ -120,6 +120,6 @@
     # times at which something is due next (deadlines)
     next_peer_message_at: float = 0.0
     next_replan_at: float = 0.0
-    next_subscribe_at: float = 0.0  # in the first step
+    next_subscribe_at: float = 0.0  # 0: due in the first step
     next_heartbeat_at: float = math.inf
     timer_at: float = math.inf
--- a/cottonhold/scheduler/peer_load.py
+++ b/cottonhold/scheduler/peer_load.py
@@ -27,7 +27,7 @@
 MIN_PEER_INTERVAL_MS = 250.0  # shortest interval between work reports
 COST_UNIT_BYTES = 256  # number of bytes that cost `per_peer_message`
 MIN_COST_TRAFFIC_PER_S = 0.1  # lowest traffic assumed for the cost of messages, in queries per second
-MIN_TRAFFIC_SHARE = 0.2  # lowest traffic share assumed for a gateway, in equal shares of all gateways
+MIN_TRAFFIC_SHARE = 0.2  # lowest traffic share assumed for a gateway, as a multiple of an equal share
 TRAFFIC_MAX_AGE_MS = 10 * MAX_PEER_INTERVAL_MS  # older reports of a peer's traffic are ignored
 
 
@@ -115,7 +115,7 @@
 
 
 def _update_traffic_share(gateway: GatewayState, local_per_s: float) -> None:
-    """Update this gateway's share of all traffic; a peer without a recent report counts as the mean."""
+    """Update this gateway's share of all traffic; the mean is assumed for a peer without a recent report."""
     since = gateway.now - TRAFFIC_MAX_AGE_MS
     rates = [local_per_s]
     rates += [
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -28,10 +28,10 @@
 from cottonhold.scheduler.settings import Idempotency
 
 BETA = 0.2  # reserved share of the slack EPSILON: the finish is estimated with 1.4 times the run time
-REPLAN_CANDIDATES = 2  # candidates for replanning a query on unobserved engines: more only costs CPU time
-PREFERRED_SHARE = 0.4  # share of the engines that takes the loads on a table group; the rest serves readers
+REPLAN_CANDIDATES = 2  # candidates for replanning a query on unobserved engines: more would only cost CPU
+PREFERRED_SHARE = 0.4  # share of the engines that run the loads on a table group; the rest serve readers
 MIN_WORK_RATE = 0.02  # lowest work rate that planning assumes, in ms of work per thread ms
-ERROR_DELAY_FACTOR = 3  # factor of the time to the finish that is added at an error share of 1
+ERROR_DELAY_FACTOR = 3  # delay added at an error share of 1, as a multiple of the time to the finish
 CANARY_INTERVAL_MS = 150.0  # interval between the canaries of all gateways to one ejected engine
 
 
@@ -194,7 +194,7 @@
 
 
 def engines_preferred_for(gateway: GatewayState, table_group: int) -> list[EngineView]:
-    """Return the engines that take the loads on these tables; every gateway computes the same engines.
+    """Return the engines that run the loads on these tables; every gateway computes the same engines.
 
     A load locks its tables on its engine. Loads spread over all engines would leave no engine for readers,
     so each table group is confined to PREFERRED_SHARE of the engines. The number of the table group selects
--- a/cottonhold/scheduler/query.py
+++ b/cottonhold/scheduler/query.py
@@ -30,31 +30,31 @@
     """
 
     arrival: InitVar[QueryArrived]
-    settings: InitVar[Settings]  # as of its arrival; later settings do not apply to it
+    settings: InitVar[Settings]  # those at its arrival; later ones do not apply to it
     class_history: ClassHistory
     arrived_at: float
     sequence: int  # number of the query in order of arrival
 
-    # as the client sent it
+    # the client's request
     query_class: QueryClass = field(init=False)
     max_attempts: int = 1
     id: str = ""
-    deadline_at: float = 0.0  # time at which its client gives up
+    deadline_at: float = 0.0  # time at which the client gives up
     estimated_work_ms: float = 0.0  # the client's estimate; 0 without one
     estimated_memory_mb: float = 0.0  # the client's estimate; 0 without one
     table_group: int = -1
     tenant: int = 0
     ordering_key: str | None = None  # queries with the same key are sent in order of arrival
-    first_tried_at: float = 0.0  # time at which its client sent its first try
+    first_tried_at: float = 0.0  # time at which the client sent its first try
 
-    # its estimates and utility
+    # estimates and utility
     planned_work_ms: float = 0.0
     planned_memory_mb: float = 0.0
-    latency_objective_ms: float = 0.0  # from the first try: a result within it earns the full utility
+    latency_objective_ms: float = 0.0  # time from the first try within which a result earns all utility
     latency_objective_at: float = 0.0
     full_utility: float = 0.0
 
-    # its position in the plan of an engine
+    # position in the plan of an engine
     engine: EngineReference | None = None
     estimated_finish_at: float = 0.0
     planned_run_ms: float = 0.0
@@ -63,15 +63,15 @@
     priority: int = 1
     sent_priority: int = 1  # last priority sent with UpdateAttempt
     sent_memory_grant_mb: int = 0  # last grant sent with UpdateAttempt
-    is_canary: bool = False  # its attempt tests an ejected engine
+    is_canary: bool = False  # whether its attempt tests an ejected engine
 
     # the attempt in flight, and results of earlier attempts
     is_in_flight: bool = False
     attempts_sent: int = 0
     sent_at: float = 0.0
-    progress_at: float = 0.0  # time of its last PROGRESS note, else the time it was sent
+    progress_at: float = 0.0  # time of the last PROGRESS note; without one, when the attempt was sent
     running_since: float = 0.0  # earliest time at which the current run can have begun
-    completed_share: float = 0.0  # completed share of its run, by progress notes
+    completed_share: float = 0.0  # completed share of the run, by progress notes
     is_waiting_for_memory: bool = False
     is_streaming: bool = False
     is_cancelled: bool = False
@@ -80,7 +80,7 @@
     may_have_run_on: EngineReference | None = None
     engine_error_count: int = 0  # attempts that ended with an error of the engine
     first_error_engine: EngineReference | None = None
-    is_finished: bool = False  # whether it has its final answer or its client has disconnected
+    is_finished: bool = False  # whether it has been answered or its client has disconnected
 
     def __post_init__(self, arrival: QueryArrived, settings: Settings) -> None:
         """Copy the client's request, and the settings that apply to the query until its end."""
--- a/cottonhold/scheduler/rate_estimation.py
+++ b/cottonhold/scheduler/rate_estimation.py
@@ -10,9 +10,9 @@
 from cottonhold.scheduler.query import Query
 
 RATE_HALF_LIFE_MS = 3000.0  # half-life of an engine's work rate: covers several queries, but follows changes
-RATE_PRIOR_MS = 800.0  # thread time that the fleet's rate weighs in an engine's rate, for few samples
+RATE_PRIOR_MS = 800.0  # weight of the fleet's rate in an engine's rate, as thread time; for few samples
 BEST_RATE_HALF_LIFE_MS = 60000.0  # half-life of the best rate seen, so that a single outlier is forgotten
-MAX_RUN_FACTOR = 3.0  # run time by planned run time above which an attempt does not change rates
+MAX_RUN_FACTOR = 3.0  # ratio of actual to planned run time above which an attempt does not change rates
 CLASS_GAIN = 0.03  # weight of one answer in a class's averages: they settle after some tens of answers
 RUN_TIME_ERROR_GAIN = 0.5  # factor of CLASS_GAIN for the run time error
 IMPLIED_WORK_FACTOR = 8  # largest ratio of implied to planned work, or of planned to implied work
@@ -60,7 +60,7 @@
     work only shows biases of classes relative to each other, so the mean bias is subtracted.
     """
     history, now = query.class_history, gateway.now
-    engine_rate = work_rate(gateway, engine)  # without this answer, which changes it from the next step on
+    engine_rate = work_rate(gateway, engine)  # does not include this answer until the next step
     work_ms = event.actual_work_ms or query.planned_work_ms
     implied_ms = event.actual_work_ms or _implied_work_ms(query, engine_rate, event.elapsed_ms, work_ms)
     gain = max(CLASS_GAIN, 1 / (history.answers_seen + 2))
--- a/cottonhold/scheduler/release.py
+++ b/cottonhold/scheduler/release.py
@@ -28,7 +28,7 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import MemoryShortage
 
-MAX_OVERFILL = 1.25  # use by capacity above which an engine is sent nothing: throughput drops steeply there
+MAX_OVERFILL = 1.25  # ratio of use to capacity above which nothing is sent: throughput drops steeply there
 
 
 class SendBarrier(Enum):
@@ -56,7 +56,7 @@
         if _is_blocked(query, engine, blocked_density):
             index += 1
         elif not has_capacity(gateway, query, engine) or _would_displace(gateway, query):
-            blocked_density = query.density  # exceeds the previous one, as _is_blocked() is false
+            blocked_density = query.density  # higher than before, as _is_blocked() is false
             if not blocked_density or not gateway.settings.features.has_priorities:
                 return
             index += 1
@@ -70,8 +70,8 @@
 def _is_blocked(query: Query, engine: EngineView, blocked_density: float) -> bool:
     """Return whether a query must wait for a blocked query that it does not outrank, or for a load.
 
-    A load waits for another load in flight on its tables: it would only wait for the lock at the engine and
-    block readers meanwhile.
+    A load waits for another load in flight on its tables. At the engine it would only wait for the lock, and
+    readers would be blocked until it ends.
     """
     if blocked_density and query.density <= OUTRANK_MARGIN * blocked_density:
         return True
--- a/cottonhold/scheduler/responses.py
+++ b/cottonhold/scheduler/responses.py
@@ -34,7 +34,7 @@
 
 
 def finish(gateway: GatewayState, query: Query, is_served: bool = False) -> None:
-    """Finish a query, and drop it once no attempt of it is in flight."""
+    """Finish a query, and drop it once none of its attempts is in flight."""
     if not is_served:
         query.class_history.unserved.add(gateway.now)
     query.is_finished = True
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -143,10 +143,10 @@
 
 
 def _on_timer_expired(scheduler: Scheduler, event: TimerExpired) -> None:
-    """Do nothing, as each step already does what is due."""
+    """Do nothing: every step handles all times that have been reached."""
 
 
-# Handlers by event type; the type of a handler's event is its key.
+# Handlers by event type; each handler receives only events of the type that is its key.
 HANDLERS: dict[type, Callable[[Scheduler, Any], None]] = {
     QueryArrived: admission.on_query_arrived,
     AttemptEnded: attempt_outcomes.on_attempt_ended,
--- a/cottonhold/scheduler/settings.py
+++ b/cottonhold/scheduler/settings.py
@@ -11,7 +11,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a query may be run more than once.
+    """The effect of running a query more than once.
 
     Attributes:
         IDEMPOTENT: A repeat has no further effect.
@@ -25,7 +25,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which engines drop repeats of a keyed query: all, or those of the first attempt's zone or cell."""
+    """The engines that drop repeats of a keyed query: all, or those of the first attempt's zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,7 +33,7 @@
 
 
 class MemoryShortage(Enum):
-    """What an engine does when grants exceed its memory: queries wait, grants shrink, or the engine pages."""
+    """The behaviour of an engine whose memory is short: queries wait, grants shrink, or the engine pages."""
 
     WAIT = "wait"
     SHRINK = "shrink"
@@ -50,7 +50,7 @@
         deadline_ms: Time from arrival after which the client gives up, in ms.
         utility: Utility of a result within the latency objective.
         late_utility: Share of the utility, from 0 to 1, that a result after the latency objective earns.
-        latency_objective_stretch: Part of the planned run time that is added to the latency objective.
+        latency_objective_stretch: Share of the planned run time that is added to the latency objective.
         idempotency: Whether a query of the class may be run more than once.
         deduplication_scope: Engines that drop repeats of a keyed query.
         deduplication_window_ms: Time from the first attempt during which engines drop repeats, in ms.
@@ -99,18 +99,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Features:
-    """What the deployment permits a gateway to do.
+    """Operations and limits that the deployment permits a gateway.
 
     Attributes:
-        can_cancel: Attempts may be cancelled.
-        has_memory_grants: The gateway sets the memory grant of each attempt; otherwise the engine does.
-        has_priorities: Attempts have priorities, by which engines share their cores.
-        has_health_checks: Engines answer health checks.
-        has_peer_messages: Gateways may send each other messages.
-        has_retry_after: A rejection may advise the client when to retry.
+        can_cancel: Whether attempts may be cancelled.
+        has_memory_grants: Whether the gateway sets the memory grants of attempts; otherwise the engine does.
+        has_priorities: Whether attempts have priorities, by which engines share their cores.
+        has_health_checks: Whether engines answer health checks.
+        has_peer_messages: Whether gateways may send each other messages.
+        has_retry_after: Whether a rejection may advise the client when to retry.
         max_retry_after_ms: Longest advised time until a retry, in ms.
         max_attempts: Largest number of attempts of one query.
-        polls_engine_list: Changes of the engine list have to be asked for.
+        polls_engine_list: Whether changes of the engine list have to be requested.
     """
 
     can_cancel: bool = False
@@ -187,13 +187,13 @@
         over_quota_utility: Share of its utility that a query above its tenant's quota earns.
         load_report_fields: Names of the values of a load report, in their order.
         reports_on_health_check: Whether engines send load reports with health checks only; not used here.
-        on_memory_shortage: What engines do when granted memory exceeds their memory.
+        on_memory_shortage: Behaviour of engines when granted memory exceeds their memory.
         max_grant_share: Largest memory grant, as a share of an engine's memory.
         progress_interval_ms: Interval of the progress notes of a running attempt, in ms; 0 if there are none.
         reports_actual_work: Whether answers report the actual work; not used here.
         tick_ms: Resolution of timers, in ms.
         max_connect_ms: Longest time between the decision to send an attempt and its start, in ms.
-        concurrent_processes: Processes that act as this gateway: two while one takes over from another.
+        concurrent_processes: Number of processes that act as this gateway: two while one replaces the other.
 
     Raises:
         ValueError: A value is out of range.
--- a/cottonhold/scheduler/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -18,13 +18,13 @@
 
 COLD_MARGIN = 0.5  # used share of a cold engine's budget; speed, work and traffic shares are only estimated
 EARNED_SHARE = 0.5  # share of the budget that is earned over the window; the rest is the initial burst
-MAX_PART_FACTOR = 1.5  # largest part of the budget a gateway may claim, in even parts of all gateways
+MAX_PART_FACTOR = 1.5  # largest part of the budget that a gateway may claim, as a multiple of an equal part
 LARGE_QUERY_SHARE = 0.7  # share of the turns that is open to queries larger than one burst
-SINGLE_QUERY_SLACK = 2  # work by which one query may exceed the budget of all gateways, in mean queries
+SINGLE_QUERY_SLACK = 2  # work by which one query may exceed the whole budget, as a multiple of the mean work
 MAX_MEAN_SAMPLES = 200  # number of queries over which the mean work is averaged
 MEAN_PRIOR_SAMPLES = 10  # weight of the initial estimate of the mean work, in queries
 SETTLED_ANSWERS = 8  # answers from which on the mean work of a class replaces the query's own estimate
-QUOTA_BURST_MS = 250.0  # time over which an unused quota accumulates: bursts of all gateways may coincide
+QUOTA_BURST_MS = 250.0  # time over which an unused quota accumulates; short, as bursts may coincide
 HASH_COUNT = 2**32  # number of hashes of engine ids; divided by it, a hash is a fraction from 0 to 1
 
 
@@ -32,9 +32,9 @@
     """Return whether a cold engine's budget or an engine's quota forbids sending the query there now.
 
     Also adds the allowance earned since the last call. A cold engine is sent work only by the gateways that
-    it is assigned to. Where the part of a gateway is less than one query, gateways take turns in the share of
-    the query that must be earned before it is sent. An engine that has recovered from a failure counts as
-    cold too, even before the engine list reports a restart.
+    it is assigned to. Where the part of a gateway is less than one query, the share of the query that must be
+    earned before it is sent differs by gateway and rotates among them. An engine that has recovered from a
+    failure is treated as cold too, even before the engine list reports a restart.
     """
     is_cold = gateway.now < engine.cold_until
     quota_rate = engine.effective_quota_rate(gateway.now)
--- a/cottonhold/scheduler/straggler_cancellation.py
+++ b/cottonhold/scheduler/straggler_cancellation.py
@@ -12,8 +12,8 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import Idempotency
 
-# Used for three limits: planned run times until an attempt may be cancelled, expected remaining time by
-# elapsed time, and how many times shorter than that a new attempt has to be.
+# An attempt may be cancelled after this many planned run times. Without progress notes its remaining time is
+# assumed to be this many times the elapsed time. A new attempt must be this many times shorter than that.
 STRAGGLER_FACTOR = 2.0
 MIN_COMPLETED_SHARE = 0.05  # lowest completed share assumed for a run, if progress notes report less
 
@@ -84,7 +84,7 @@
 
 
 def cancel(gateway: GatewayState, query: Query) -> None:
-    """Cancel the query's attempt in flight, unless this was done before."""
+    """Cancel the query's attempt in flight, unless it is cancelled already."""
     if query.is_in_flight and not query.is_cancelled:
         query.is_cancelled = True
         gateway.actions.append(Cancel(query.id, query.attempts_sent - 1))
--- a/cottonhold/scheduler/utilization.py
+++ b/cottonhold/scheduler/utilization.py
@@ -17,10 +17,11 @@
 
 PRESSURE_RATE = 0.6  # work rate, as a share of the fleet's best, below which an engine is under pressure
 PRESSURE_UTILIZATION = 0.9  # reported share of busy cores above which an engine is under pressure
-MAX_REFUTABLE_USE = 2.0  # use by capacity above which a load report can't refute pressure
-OUTDATED_FACTOR = 1.2  # queries in flight by reported ones above which a report is outdated; allows for noise
+MAX_REFUTABLE_USE = 2.0  # ratio of use to capacity above which a load report can't refute pressure
+# Ratio of own to reported queries in flight above which a report is outdated; above 1 to allow for noise.
+OUTDATED_FACTOR = 1.2
 PRESSURE_DURATION_MS = 500.0  # duration of pressure after a rejection as overloaded or a wait for memory
-IDLE_UTILIZATION = 0.8  # use of the fleet up to which a query without utility takes no other's capacity
+IDLE_UTILIZATION = 0.8  # used share of the fleet up to which a query without utility delays no other
 
 
 def is_under_pressure(gateway: GatewayState, engine: EngineView) -> bool:
@@ -48,7 +49,7 @@
 def _reported_queries(gateway: GatewayState, engine: EngineView, report: dict[str, float]) -> float:
     """Return the queries in flight by the engine's report, or estimated by its share of busy cores.
 
-    If engines page, cores idle meanwhile, so half of the cores busy does not show that capacity is free.
+    Cores idle while an engine pages, so a report of half of the cores as busy does not show free capacity.
     """
     is_paging = gateway.settings.on_memory_shortage is MemoryShortage.PAGE
     full_utilization = 1 / THREADS_PER_CORE if is_paging else PRESSURE_UTILIZATION
@@ -79,7 +80,7 @@
 
 
 def fleet_used_share(gateway: GatewayState, reported: float) -> float:
-    """Return the used share of the fleet: the reported one, or one extrapolated from own work if higher."""
+    """Return the used share of the fleet: the reported share, or one extrapolated from own work if higher."""
     threads = gateway.in_flight.threads / gateway.fleet_thread_capacity
     memory = gateway.in_flight.memory_mb / gateway.fleet_memory_capacity_mb
     return max(reported, max(threads, memory) / gateway.traffic_share)
