--- a/cottonhold/__main__.py
+++ b/cottonhold/__main__.py
@@ -20,7 +20,7 @@
     """Run one dispatcher.
 
     Returns:
-        The exit code: 2 if the configuration can't be used, 1 if the address can't, else 0.
+        The exit code: 2 if the configuration can't be used, 1 if the address can't be used, else 0.
     """
     counters = Counters()
     try:
--- a/cottonhold/backend/attempt.py
+++ b/cottonhold/backend/attempt.py
@@ -43,7 +43,7 @@
     deadline: float
     idempotency_key: str | None = None  # given by the client, identical on all attempts
     begin_deadline: float = math.inf  # latest time at which its first byte may be written
-    connection: AttemptConnection | None = None  # None before it is queued and after it ended
+    connection: AttemptConnection | None = None  # None before the attempt is queued and after it ended
     timer: Timer | None = None
     is_written: bool = False
     first_response_at: float = 0.0
--- a/cottonhold/backend/connection.py
+++ b/cottonhold/backend/connection.py
@@ -14,7 +14,7 @@
 from cottonhold.transport.clock import Clock
 from cottonhold.transport.interface import StreamHandle
 
-MAX_READS_BEFORE_WRITE = 4  # reads of unsolicited data before a write on an idle connection
+MAX_READS_BEFORE_WRITE = 4  # limit of reads that precede a write on an idle connection
 # A write ends with the item that reaches this size; a socket's send buffer holds that much.
 MAX_WRITE_BYTES = 16 * 1024
 
@@ -96,7 +96,7 @@
     def _detect_close(self) -> None:
         """Detect that the engine has closed an idle connection, before something is written on it.
 
-        A request written there would count as possibly executed, so it might not be safe to retry.
+        A request written there might have been executed, so it might not be safe to retry.
         """
         if self.stream is None or not self.queue or any(a.is_written for a in self.attempts.values()):
             return
--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -73,7 +73,7 @@
         """
         self.settings, self.clock, self.counters, self.log = settings, clock, counters, log
         self.endpoints: dict[str, EngineEndpoint] = {}
-        self.endpoints_in_use: dict[str, EngineEndpoint] = {}  # had connections when last checked
+        self.endpoints_in_use: dict[str, EngineEndpoint] = {}  # with connections at the last check
         self.connect: Connect
         self.listener: AttemptListener
         self.max_connections, self.open_connections = max_connections, 0
@@ -261,7 +261,7 @@
     def _on_timeout(self, attempt: Attempt) -> None:
         """End an attempt whose deadline has passed.
 
-        A queued attempt counts as a failed connect only if the connect had its full timeout.
+        A queued attempt ends with CONNECT_FAILED only if the connect was given its full timeout.
         """
         connection = attempt.connection
         if connection is None or attempt not in connection.queue:
--- a/cottonhold/backend/engine_protocol.py
+++ b/cottonhold/backend/engine_protocol.py
@@ -20,11 +20,11 @@
 class AnswerKind(Enum):
     """The kind of an engine's answer to an attempt."""
 
-    SERVED = b"served"  # with page 0 of the result and the number of pages
+    SERVED = b"served"  # contains page 0 of the result and the number of pages
     PAGE = b"rows"
     OVERLOADED = b"overload"
     CRASHED = b"crashed"
-    UNKNOWN_REQUEST = b"nobody"  # no attempt of this id runs there
+    UNKNOWN_REQUEST = b"nobody"  # no attempt with this id runs at the engine
 
 
 ANSWER_KINDS = {kind.value: kind for kind in AnswerKind}
--- a/cottonhold/backend/health_check.py
+++ b/cottonhold/backend/health_check.py
@@ -9,7 +9,7 @@
 
 # Each attempt adds this cost to the budget of liveness checks, in the unit of the cost of a health check.
 BUDGET_PER_ATTEMPT = 0.003
-MAX_AVAILABLE_CHECKS = 4.0  # several connections may become silent at the same time
+MAX_AVAILABLE_CHECKS = 4.0  # limit of the budget: several connections may become silent together
 
 
 @dataclass(slots=True, eq=False)
--- a/cottonhold/backend/liveness_monitor.py
+++ b/cottonhold/backend/liveness_monitor.py
@@ -1,4 +1,4 @@
-"""Checks silent connections, and engines that drain or were removed, in a fixed interval."""
+"""Checks silent connections, and engines that drain or were removed, at a fixed interval."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 LIVENESS_CHECK_AFTER_MS = 1200.0
 # Timeout of a liveness check, and the longest time between the first and the last byte of an answer.
 LIVENESS_TIMEOUT_MS = 500.0
-# Limit for each connection; an id can only be reused during the lifetime of its request.
+# Limit per connection. The oldest ids may be dropped, since an id is reused only while its request is open.
 MAX_ABANDONED_IDS = 256
 
 
--- a/cottonhold/backend/resp.py
+++ b/cottonhold/backend/resp.py
@@ -121,7 +121,7 @@
 
 
 def decode_fields(text: bytes) -> dict[str, str]:
-    """Decode a list such as name=value,name=value; `-` stands for an empty list."""
+    """Decode a list such as name=value,name=value; `-` is an empty list."""
     if text in (b"-", b""):
         return {}
     pairs = (part.partition("=") for part in text.decode("utf-8", "replace").split(","))
--- a/cottonhold/frontend/client_sessions.py
+++ b/cottonhold/frontend/client_sessions.py
@@ -15,7 +15,7 @@
 CHECK_INTERVAL_MS = 200.0
 HEADROOM_FRACTION = 8  # 1/8 of the maximum number of sessions is kept free for new connections
 EVICTABLE_AFTER_MS = 50.0  # near the limit, a connection that sent nothing for this long may be evicted
-# Longer for a connection that stopped within a packet: slow clients pause between its parts.
+# The same limit for a connection that stopped within a packet. It is longer, since slow clients pause there.
 HALTED_EVICTABLE_AFTER_MS = 400.0
 EVICTION_ORDER = {Activity.SILENT: 0, Activity.IDLE: 1, Activity.HALTED: 2}
 ALL_IDS = ConnectionIdRange()
@@ -79,7 +79,7 @@
         clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
 
     def _check_periodically(self) -> None:
-        """Check all sessions in a fixed interval; one timer costs less than one for each session."""
+        """Check all sessions at a fixed interval; one timer costs less than one for each session."""
         self.clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
         self.check_timeouts()
 
@@ -95,7 +95,7 @@
                 session.evict()
 
     def has_unfinished(self) -> bool:
-        """Whether the process must keep running: a client awaits a response or may still send a request."""
+        """Return whether the process must keep running: a client may await a response or send a request."""
         return any(session.is_unfinished() for session in self.sessions.values())
 
     def has_capacity(self) -> bool:
@@ -110,7 +110,7 @@
         return len(self.sessions) < self.max_sessions
 
     def is_evicting(self) -> bool:
-        """Whether descriptors of evicted sessions are about to be released."""
+        """Return whether descriptors of evicted sessions are about to be released."""
         return self.evicted_count > 0
 
     def _evict(self, count: int) -> None:
--- a/cottonhold/frontend/mysql_session.py
+++ b/cottonhold/frontend/mysql_session.py
@@ -46,23 +46,24 @@
 from cottonhold.transport.interface import StreamHandle
 
 MAX_PACKET_BYTES = 64 * 1024  # limit of a client's packet, since many clients share the memory
-MAX_UNREAD_BYTES = 32 * 1024  # output not read by the client; above this no command is executed
-MAX_QUEUED_COMMANDS = 16  # per connection; clients usually send one at a time
+MAX_UNREAD_BYTES = 32 * 1024  # size of the unread output above which no command is executed
+MAX_QUEUED_COMMANDS = 16  # limit per connection; clients usually send one at a time
 MAX_QUEUED_BYTES = 2 * MAX_PACKET_BYTES
 # A client that stalls must have its connection closed within 3 s of connecting, so these limits are shorter.
-LOGIN_TIMEOUT_MS = 2000.0  # between connecting and the first command
-PARTIAL_PACKET_TIMEOUT_MS = 1200.0  # between a packet's first byte and its last
+LOGIN_TIMEOUT_MS = 2000.0  # longest time between connecting and the first command
+PARTIAL_PACKET_TIMEOUT_MS = 1200.0  # longest time between a packet's first and last byte
 IDLE_TIMEOUT_MS = 5000.0  # clients close an idle connection themselves after 4 s
-# While draining or shutting down, a connection active this recently stays open: a request may follow.
+# While the process drains or shuts down, a connection stays open for this long after its last activity, since
+# another request may follow.
 SETTLE_MS = 100.0
 
 
 class Activity(Enum):
     """State of a client without an open request; the values are part of counters' names."""
 
-    SILENT = "silent"  # has sent nothing yet
-    IDLE = "idle"  # between two commands
-    HALTED = "halted"  # has stopped within a packet or its login
+    SILENT = "silent"  # the client has sent nothing yet
+    IDLE = "idle"  # the client is between two commands
+    HALTED = "halted"  # the client stopped within a packet or its login
 
 
 class Command(NamedTuple):
@@ -144,7 +145,7 @@
         return packet
 
     def pop_output(self) -> bytes:
-        """Remove and return the bytes to write; queued commands are then executed soon."""
+        """Remove and return the bytes to write, and schedule the execution of queued commands."""
         data = bytes(self.output)
         self.output.clear()
         if self.commands and self.withdraw_request is None and not self.is_closing:
@@ -292,7 +293,7 @@
             self._close_unless_received()
 
     def _is_stalled(self, now: float) -> bool:
-        """Whether the client takes too long to send a packet or to log in."""
+        """Return whether the client has exceeded the time for sending a packet or for logging in."""
         if now - self.partial_since > PARTIAL_PACKET_TIMEOUT_MS:
             return True
         return not self.has_sent_command and now - self.opened_at > LOGIN_TIMEOUT_MS
@@ -311,7 +312,7 @@
         return True
 
     def _close_for_shutdown(self) -> None:
-        """Close because this process ends, unless a request is open, whose response follows soon."""
+        """Close because this process ends, unless a request is open or queued, which is answered first."""
         if self.stream is not None:
             self.stream.read_available()
         if self.withdraw_request is not None or self.commands or self.is_closing:
@@ -359,7 +360,7 @@
             self._close_unless_received()
 
     def is_unfinished(self) -> bool:
-        """Return whether the process must keep running to send a response or to finish a write."""
+        """Return whether the session is not closing yet, or still has output to write."""
         is_writing = self.stream is not None and self.stream.is_writing()
         return not self.is_closing or bool(self.output) or is_writing
 
--- a/cottonhold/frontend/query_service.py
+++ b/cottonhold/frontend/query_service.py
@@ -52,7 +52,7 @@
 
 
 class ServingState(Protocol):
-    """Whether this process serves, drains or shuts down. All times are in ms of the clock."""
+    """The state of this process: serving, draining or shutting down. Times are in ms of the clock."""
 
     def phase(self) -> Enum:
         """Return the phase, whose value is part of error texts to clients."""
@@ -67,7 +67,7 @@
         """Return whether connections without an open request are closed."""
 
     def closes_all(self, now: float) -> bool:
-        """Return whether they are closed even if they were active recently."""
+        """Return whether connections without an open request are closed even if they were active recently."""
 
     def closes_answered(self, now: float) -> bool:
         """Return whether a connection is closed right after a response was sent on it."""
--- a/cottonhold/message_validation.py
+++ b/cottonhold/message_validation.py
@@ -55,7 +55,7 @@
 def read_mapped(
     source: Json, key: str, table: dict[Any, Any], kind: type = str, default: Any = REQUIRED
 ) -> Any:
-    """Return what a table assigns to the value of a field.
+    """Return the entry of a table for the value of a field.
 
     Args:
         source: The JSON object.
--- a/cottonhold/observe/metrics.py
+++ b/cottonhold/observe/metrics.py
@@ -40,7 +40,7 @@
 
 
 def count_by_label(labels: Iterable[str], seen: Iterable[str]) -> dict[str, int]:
-    """Count how often each label occurs; absent labels get 0, since a series that ends would look lost."""
+    """Count how often each label occurs; absent labels get 0, since an absent series looks like lost data."""
     return dict.fromkeys(labels, 0) | Counter(seen)
 
 
--- a/cottonhold/observe/structured.py
+++ b/cottonhold/observe/structured.py
@@ -10,7 +10,7 @@
 import structlog
 
 HIDDEN = "(hidden)"
-MAX_DROPPED_EVENTS = 64  # event names whose dropped lines are counted separately
+MAX_DROPPED_EVENTS = 64  # limit of event names whose dropped lines are counted separately
 SECRET_NAME_PARTS = ("token", "secret", "password", "key_file_text", "authorization")
 
 
@@ -64,7 +64,7 @@
         self.filled_at = now
         if self.tokens < 1:
             name = str(event.get("event", ""))
-            # Bounds the memory for a burst of events with many different names.
+            # This bounds the memory during a burst of events with many different names.
             if len(self.dropped) >= MAX_DROPPED_EVENTS and name not in self.dropped:
                 name = "others"
             self.dropped[name] = self.dropped.get(name, 0) + 1
--- a/cottonhold/simulator_adapter.py
+++ b/cottonhold/simulator_adapter.py
@@ -49,7 +49,7 @@
 
 __all__ = ["decode_health_check", "decode_settings", "run"]
 
-USED_WORK_SHIFT = 12  # "used_up" has the work in ms above this many bits, which hold the memory in steps
+USED_WORK_SHIFT = 12  # number of low bits of "used_up" for the memory in steps; the high bits are work in ms
 USED_MEMORY_MASK = (1 << USED_WORK_SHIFT) - 1
 USED_MEMORY_STEP_MB = 4
 
--- a/cottonhold/transport/clock.py
+++ b/cottonhold/transport/clock.py
@@ -41,8 +41,8 @@
         wall: Callable[[], float] | None = None,
     ) -> None:
         self.loop, self.monotonic = loop, monotonic
-        # Read only once, so that steps of the wall clock have no effect. The wall clock may be wrong by any
-        # amount: it is only compared with start times of engines, and numbers a start without a state folder.
+        # The wall clock is read only once, so its steps have no effect. It may be wrong by any amount: its
+        # time is only compared with engines' start times, and numbers a start without a state folder.
         self.unix_offset = (wall or time.time)() * 1000 - self.now()
 
     def now(self) -> float:
--- a/cottonhold/transport/stream.py
+++ b/cottonhold/transport/stream.py
@@ -13,7 +13,7 @@
 from cottonhold.transport.socket_factory import RESOURCE_ERRORS
 
 SWEEP_INTERVAL_S = 5.0
-STUCK_S = 30.0  # a connection is closed if a write takes longer, since its peer does not read
+STUCK_S = 30.0  # longest time of a write; then the connection is closed, since its peer does not read
 # Time that a peer has to read the last byte, extended up to the maximum while it still sends.
 LINGER_S, MAX_LINGER_S = 1.0, 5.0
 
