--- a/cottonhold/backend/connection.py
+++ b/cottonhold/backend/connection.py
@@ -14,7 +14,7 @@
 from cottonhold.transport.clock import Clock
 from cottonhold.transport.interface import StreamHandle
 
-MAX_READS_BEFORE_WRITE = 4  # limit of reads that precede a write on an idle connection
+MAX_READS_BEFORE_WRITE = 4  # limit of reads of unsolicited data before a write on an idle connection
 # A write ends with the item that reaches this size; a socket's send buffer holds that much.
 MAX_WRITE_BYTES = 16 * 1024
 
--- a/cottonhold/backend/endpoint.py
+++ b/cottonhold/backend/endpoint.py
@@ -66,7 +66,7 @@
 
 
 def is_stale(connection: Connection, settings: ConnectionSettings, now: float) -> bool:
-    """Return whether the engine may be closing an idle connection, where a request might be lost or run."""
+    """Return whether the engine may be closing an idle connection: a request on it might or might not run."""
     margin_ms = min(IDLE_MARGIN_MS, settings.idle_timeout_ms * MAX_IDLE_MARGIN_FRACTION)
     return connection.is_up and now - connection.last_used_at > settings.idle_timeout_ms - margin_ms
 
--- a/cottonhold/config/schema.py
+++ b/cottonhold/config/schema.py
@@ -367,7 +367,7 @@
             persisted.
         status_socket: Path of the local socket for metrics and for commands such as `members`; empty for
             none.
-        has_metrics: Whether metrics are served; off by default, since the library takes up to 3 MB.
+        has_metrics: Whether metrics are served; off by default, since the library uses up to 3 MB.
         sources: Sources of the engine list, in the order of their precedence.
     """
 
--- a/cottonhold/observe/metrics.py
+++ b/cottonhold/observe/metrics.py
@@ -1,7 +1,7 @@
 """Counters and gauges in the Prometheus text format.
 
-Imported only if `metrics` is enabled, since prometheus_client takes up to 3 MB and 50 ms at the start. No
-port is opened; the local socket serves the text.
+This module is imported only if `metrics` is enabled, since prometheus_client adds up to 3 MB of memory and
+50 ms to the start. No port is opened; the local socket serves the text.
 """
 
 from __future__ import annotations
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -151,8 +151,8 @@
 def _count_query_error(query: Query, engine: EngineView) -> bool:
     """Count an error of the query, and return whether the query rather than the engine causes it.
 
-    This is assumed from the query's second error on. That error counts against no engine, and the first error
-    is subtracted from the error share of its engine.
+    This is assumed from the query's second error on. That error is attributed to no engine, and the first
+    error is subtracted from the error share of its engine.
     """
     query.engine_error_count += 1
     if query.first_error_engine is None:
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -103,7 +103,7 @@
 ) -> TentativePlan:
     """Return the plan at the position with the highest density where the query may delay those behind it.
 
-    Positions are tried from the end of the plan to its front. The query may take a position if its density
+    Positions are tried from the end of the plan to its front. A position is permitted if the query's density
     exceeds OUTRANK_MARGIN times the density of each query behind it that the delay would make late.
     """
     best, run_ms = last, last.run_ms
--- a/cottonhold/scheduler/rate_estimation.py
+++ b/cottonhold/scheduler/rate_estimation.py
@@ -9,7 +9,7 @@
 from cottonhold.scheduler.parameters import HEARTBEAT_MS
 from cottonhold.scheduler.query import Query
 
-RATE_HALF_LIFE_MS = 3000.0  # half-life of an engine's work rate: covers several queries, but follows changes
+RATE_HALF_LIFE_MS = 3000.0  # half-life of an engine's work rate; covers several queries but follows changes
 RATE_PRIOR_MS = 800.0  # weight of the fleet's rate in an engine's rate, as thread time; for few samples
 BEST_RATE_HALF_LIFE_MS = 60000.0  # half-life of the best rate seen, so that a single outlier is forgotten
 MAX_RUN_FACTOR = 3.0  # ratio of actual to planned run time above which an attempt does not change rates
--- a/cottonhold/scheduler/release.py
+++ b/cottonhold/scheduler/release.py
@@ -156,9 +156,9 @@
     """Return whether this gateway's share of the fleet has capacity for one more query.
 
     The share applies to the fleet, not to each engine: one query of each gateway on each engine would
-    overload the fleet. Attempts that timed out and may still run count until their planned end. A query that
-    needs more than the share is sent only while no query that it does not outrank is in flight, and after the
-    pause that follows another such query.
+    overload the fleet. Attempts that timed out and may still run are included until their planned end. A
+    query that needs more than the share is sent only while all queries in flight are outranked by it, and
+    after the pause that follows another such query.
     """
     in_flight = gateway.in_flight.on_admitted_engines.not_outranked(ranking_density, OUTRANK_MARGIN)
     unobserved = [
--- a/cottonhold/scheduler/settings.py
+++ b/cottonhold/scheduler/settings.py
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineType:
-    """One type of engine machine; 0 if a figure is unknown."""
+    """One type of engine machine; a figure of 0 is unknown."""
 
     cores: int = 0
     memory_mb: float = 0.0
