--- a/cottonhold/backend/endpoint.py
+++ b/cottonhold/backend/endpoint.py
@@ -11,8 +11,8 @@
 from cottonhold.discovery.model import Address
 from cottonhold.scheduler.events import Engine, EngineState
 
-# Engines close idle connections. Nothing is sent on one that is this close to the engine's idle timeout; for
-# a short timeout the margin is this fraction of it.
+# Engines close idle connections. Nothing is sent on a connection within this margin of its idle timeout. The
+# second value limits the margin to a fraction of a short timeout.
 IDLE_MARGIN_MS, MAX_IDLE_MARGIN_FRACTION = 2000.0, 0.5
 
 
--- a/cottonhold/config/schema.py
+++ b/cottonhold/config/schema.py
@@ -32,7 +32,7 @@
         deadline_ms: Time from arrival after which the client gives up, in ms.
         utility: Utility of a result within the latency objective.
         late_utility: Share of the utility, from 0 to 1, that a result after the latency objective earns.
-        latency_objective_stretch: Share of the planned run time that is added to the latency objective.
+        latency_objective_stretch: Multiple of the planned run time that is added to the latency objective.
         idempotency: Whether a query may be run more than once; by default it is not sent again after an
             attempt that may have run.
         deduplication_scope: Engines that drop repeats of a keyed query: all, or those of the first
--- a/cottonhold/scheduler/actions.py
+++ b/cottonhold/scheduler/actions.py
@@ -19,8 +19,8 @@
         query_id: Id of the query.
         engine: Id of the engine.
         timeout_ms: Time after which the attempt is abandoned, in ms; 0 for the client's deadline.
-        begin_deadline: Time from which the attempt must not be started, for example after a slow connect:
-            engines no longer drop repeats then.
+        begin_deadline: Time from which the attempt must not be started, for example after a slow connect,
+            since engines no longer drop repeats from then on.
     """
 
     query_id: str
--- a/cottonhold/scheduler/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: computes the capacity of engines and fleet, and this gateway's engines and part of the fleet."""
+"""Capacity: computes the capacity of the fleet, and assigns engines and a part of it to this gateway."""
 
 from __future__ import annotations
 
--- a/cottonhold/scheduler/moving_average.py
+++ b/cottonhold/scheduler/moving_average.py
@@ -24,7 +24,7 @@
         self.updated_at = now
 
     def value(self, now: float, half_life_ms: float, prior_thread_ms: float, prior_rate: float) -> float:
-        """Return the work per thread time, with a prior rate that has the weight of some thread time."""
+        """Return the work per thread time, averaged with a prior rate of weight `prior_thread_ms`."""
         decay = math.exp2((self.updated_at - now) / half_life_ms)
         return (self.work_ms * decay + prior_thread_ms * prior_rate) / (
             self.thread_ms * decay + prior_thread_ms
--- a/cottonhold/scheduler/peer_load.py
+++ b/cottonhold/scheduler/peer_load.py
@@ -78,8 +78,8 @@
 def publish_work(gateway: GatewayState) -> None:
     """Send this gateway's traffic and its work on engines to the peers that share them.
 
-    The time until the next messages is set by their cost, with random jitter so that the gateways don't send
-    in step.
+    The time until the next messages is set by their cost, with random jitter so that the gateways don't all
+    send at the same time.
     """
     now = gateway.now
     local_per_s = gateway.local_traffic.per_s(now)
--- a/cottonhold/scheduler/settings.py
+++ b/cottonhold/scheduler/settings.py
@@ -50,7 +50,7 @@
         deadline_ms: Time from arrival after which the client gives up, in ms.
         utility: Utility of a result within the latency objective.
         late_utility: Share of the utility, from 0 to 1, that a result after the latency objective earns.
-        latency_objective_stretch: Share of the planned run time that is added to the latency objective.
+        latency_objective_stretch: Multiple of the planned run time that is added to the latency objective.
         idempotency: Whether a query of the class may be run more than once.
         deduplication_scope: Engines that drop repeats of a keyed query.
         deduplication_window_ms: Time from the first attempt during which engines drop repeats, in ms.
--- a/cottonhold/transport/listener.py
+++ b/cottonhold/transport/listener.py
@@ -19,8 +19,8 @@
 ACCEPT_PAUSE_S = 0.02  # pause after a failure, or while there is no capacity
 EVICTION_PAUSE_S = 0.001  # pause while descriptors of evicted connections are about to be released
 OPEN_TIMEOUT_S = 3.0  # longest wait for a resource at a start, which has to be ready within 6 s
-MAX_BROKEN_CONNECTIONS = 64  # consecutive connections that broke in the queue, between two pauses
-MAX_QUEUE_PAUSES = 25  # pauses for a resource that accept lacks, before a listener closes anyway
+MAX_BROKEN_CONNECTIONS = 64  # consecutive broken connections in the queue until the next pause
+MAX_QUEUE_PAUSES = 25  # pauses after which a closing listener drops the rest of its queue
 
 
 class ServerProtocol(StreamProtocol, Protocol):
