--- a/cottonhold/config/consistency.py
+++ b/cottonhold/config/consistency.py
@@ -236,4 +236,4 @@
     if token and token_file:
         report((*path, "token_file"), "is given beside token: only one of them is allowed")
     if any(not 33 <= ord(c) <= 126 for c in token):
-        report((*path, "token"), "contains a blank or a character that HTTP headers can't contain")
+        report((*path, "token"), "holds a blank or a character that HTTP headers can't contain")
