--- a/cottonhold/backend/endpoint.py
+++ b/cottonhold/backend/endpoint.py
@@ -11,8 +11,8 @@
 from cottonhold.discovery.model import Address
 from cottonhold.scheduler.events import Engine, EngineState
 
-# Engines close idle connections. Nothing is sent on one that is this close to the engine's idle timeout; for
-# a short timeout the margin is this fraction of it.
+# Engines close idle connections. Nothing is sent on a connection within this margin of its idle timeout. The
+# second value limits the margin to a fraction of a short timeout.
 IDLE_MARGIN_MS, MAX_IDLE_MARGIN_FRACTION = 2000.0, 0.5
 
 
@@ -66,7 +66,7 @@
 
 
 def is_stale(connection: Connection, settings: ConnectionSettings, now: float) -> bool:
-    """Return whether the engine may be closing an idle connection, so that a request may have run or not."""
+    """Return whether the engine may be closing an idle connection: a request on it might or might not run."""
     margin_ms = min(IDLE_MARGIN_MS, settings.idle_timeout_ms * MAX_IDLE_MARGIN_FRACTION)
     return connection.is_up and now - connection.last_used_at > settings.idle_timeout_ms - margin_ms
 
--- a/cottonhold/observe/metrics.py
+++ b/cottonhold/observe/metrics.py
@@ -1,7 +1,7 @@
 """Counters and gauges in the Prometheus text format.
 
-Imported only if `metrics` is enabled, since prometheus_client takes up to 3 MB and 50 ms at the start. No
-port is opened; the local socket serves the text.
+This module is imported only if `metrics` is enabled, since prometheus_client adds up to 3 MB of memory and
+50 ms to the start. No port is opened; the local socket serves the text.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def count_by_label(labels: Iterable[str], seen: Iterable[str]) -> dict[str, int]:
-    """Count how often each label occurs; absent labels get 0, since a series that ends would look lost."""
+    """Count how often each label occurs; absent labels get 0, since an absent series looks like lost data."""
     return dict.fromkeys(labels, 0) | Counter(seen)
 
 
