--- a/cottonhold/fleet/failover_cost/__init__.py
+++ b/cottonhold/fleet/failover_cost/__init__.py
@@ -1,1 +1,1 @@
-"""The cost of an outage, and what follows: which zones serve whose clients, and what may be removed. Pure."""
+"""The cost of an outage, the zones that serve clients during it, and which engines may be removed. Pure."""
--- a/cottonhold/fleet/failover_cost/allocation.py
+++ b/cottonhold/fleet/failover_cost/allocation.py
@@ -5,7 +5,7 @@
     demand     sum over zones of x[home, ., step]                     <= demand[home, step]
     capacity   sum over homes and steps of x * cost factor[home, zone] <= capacity[zone] + e[zone]
     congested  e[zone] <= congested capacity[zone], at a cost per core, since queues grow there
-    cross-zone as capacity, summed over the clients of other homes only <= cross-zone capacity[zone]
+    cross-zone like capacity, summed over the clients of other homes only <= cross-zone capacity[zone]
 
 It is solved by column generation (Dantzig and Wolfe): given shadow prices of capacity, each home responds
 independently with the best zone for each step, and a revised simplex method combines such responses. The
@@ -44,7 +44,7 @@
         capacity: Cores of each zone.
         cross_zone_capacity: Cores of each zone that other homes may use.
         retained_utility: By home and zone, the part of the utility that remains after distance and failures.
-        cost_factors: By home and zone, the cores that a core of the home's work takes there because of cold
+        cost_factors: By home and zone, the cores that a core of the home's work needs there because of cold
             data.
         congested_capacity: Further cores of each zone, at a cost.
         congestion_cost: Cost of a congested core, in utility per second.
--- a/cottonhold/fleet/failover_cost/cold_work.py
+++ b/cottonhold/fleet/failover_cost/cold_work.py
@@ -12,7 +12,7 @@
 
 ZoneFlows = Mapping[tuple[str, str], float]  # work in cores by home and zone
 
-COLD_SHARE = 0.1  # a zone counts as cold if a larger share of its uses is cold
+COLD_SHARE = 0.1  # share of cold uses above which a zone is regarded as cold
 ALL_DATA_SECONDS = 600.0  # time in which a home uses all of its data sets
 
 
--- a/cottonhold/fleet/failover_cost/cost_settings.py
+++ b/cottonhold/fleet/failover_cost/cost_settings.py
@@ -13,11 +13,11 @@
 
     Attributes:
         usable_capacity_share: Part of the cores that may be used.
-        uncongested_share: Part of the cores above which use has the congestion cost: queues form, and work
-            moves to other zones.
+        uncongested_share: Part of the cores above which each further core in use has the congestion cost,
+            because queues form and work moves to other zones.
         congestion_cost: Cost of a congested core, as a part of the mean utility of a core.
         reserved_home_share: Part of a zone's cores that other homes' clients may not use.
-        cost_per_round_trip_ms: Part of a request's utility that a ms of round trip costs.
+        cost_per_round_trip_ms: Part of a request's utility that is lost for each ms of round trip.
         cold_factor: How many times longer a request takes on cold data.
         cached_data_sets: Data sets that an engine keeps warm; 0 for all.
         window_ms: Time from the start of an outage over which cold work is averaged.
@@ -25,7 +25,8 @@
         doubling_ms: Time in which that part may double.
         negligible_share: Part of the demand that may be rejected without an admission threshold being
             projected.
-        max_rounds: Maximum number of allocations repeated for the cold work of the one before.
+        max_rounds: Maximum number of times that an allocation is repeated with the cold work that the
+            previous one causes.
         tolerance: Relative error of the utility that is accepted to save processor time.
     """
 
--- a/cottonhold/fleet/failover_cost/cross_zone_limits.py
+++ b/cottonhold/fleet/failover_cost/cross_zone_limits.py
@@ -1,7 +1,7 @@
-"""How much one instance may send to zones other than its clients' home, while capacity is missing. Pure.
+"""Limits on what an instance sends outside its clients' home zone while capacity is missing. Pure.
 
-Each instance takes a part by its own demand, which no other instance counts, so two instances of one home
-never both use the whole of what the plan allows that home. Work is in cores.
+Each instance's part is proportional to the demand of its own clients. No client's demand is included by two
+instances, so two instances of one home never both use all that the plan allows that home. Work is in cores.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-MIN_CROSS_ZONE_LIMIT = 1e-6  # used instead of 0, which would mean that the fleet has evacuated the engine
+MIN_CROSS_ZONE_LIMIT = 1e-6  # in cores; 0 would mean that the fleet has evacuated the engine
 MIN_CORES = 1e-9  # least divisor, so that a home without demand doesn't divide by zero
 
 ZoneFlows = Mapping[tuple[str, str], float]  # work in cores by home and zone
@@ -23,8 +23,8 @@
     Attributes:
         slack: Part by which the limit of a zone exceeds the plan.
         spill_share: Part of a zone's free cores, according to the plan, that may be used in addition.
-        min_share: Least part of its limit that an instance uses of a zone late in the order of zones.
-        failures_until_unstable: Consecutive failed attempts after which an engine counts as down.
+        min_share: Least part of a zone's limit that an instance uses, even if the zone is late in the order.
+        failures_until_unstable: Consecutive failed attempts after which an engine is regarded as down.
         warm_up_ms: Time after its return during which an engine may be cold.
         cold_share: Part of its cores that all cross-zone work together may use during that time.
     """
@@ -79,8 +79,8 @@
         shares: Parts of its home's served work, by zone.
         instance_demand: Demand of this instance's clients, in cores.
         allocation: The plan's allocation for the outage.
-        is_home_evacuated: Whether all of its work must be served elsewhere; then what exceeds the limits of
-            single zones goes to zones with spare capacity.
+        is_home_evacuated: Whether all of its work must be served elsewhere; then work that doesn't fit in its
+            planned zones is sent to zones with spare capacity.
         settings: Settings of cross-zone limits.
     """
     s = settings or CrossZoneSettings()
@@ -161,8 +161,8 @@
     """Divide a zone's work among its engines.
 
     A limit replaces the scheduler's own slow start, so an engine that may be cold gets the limit of a cold
-    one. If more than half of the engines appear cold, a fault of this instance is more likely, and that is
-    ignored.
+    one. If more than half of the engines appear cold, a fault of this instance is the likelier cause, so no
+    engine is treated as cold.
 
     Args:
         work: Work for the zone, in cores.
@@ -194,7 +194,8 @@
 ) -> dict[str, float]:
     """Return the part of each zone's limit that an instance uses, so that zones are filled in order.
 
-    A zone is limited only if it can take the rest of the work together with those before it in the order.
+    The limit of a zone is lowered only if this zone and those before it in the order can serve all of the
+    work.
 
     Args:
         order: Zones in the order in which they are filled; all others follow by name.
--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -47,8 +47,8 @@
     """One instance's estimator of the cost of failovers.
 
     It processes requests, answers and the reports of other instances; call `step` ten times a second.
-    `home_zone` is the zone of this instance and its clients; `seed` is for the times and receivers of
-    reports.
+    `home_zone` is the zone of this instance and its clients; `seed` determines the random times and receivers
+    of reports.
     """
 
     def __init__(
@@ -136,8 +136,8 @@
     ) -> list[tuple[int, bytes]]:
         """Take a snapshot if it is due, and return the messages that are due, as (member, message).
 
-        `remaining` is the part of each zone that the fleet may use now; zones that are not named have all.
-        Snapshots are rarer while no capacity is missing, because their results take processor time.
+        `remaining` is the part of each zone that the fleet may use now; zones that are not named are fully
+        usable. Snapshots are rarer while no capacity is missing, because their results take processor time.
         """
         s, members = self.settings, sorted(set(live) - {self.self_id})
         self.observations.recent_demand.rates(now)  # applies the decay up to now
@@ -265,8 +265,8 @@
 
     def engine_limits(self, now: float, remaining: Mapping[str, float]) -> dict[str, float]:
         """Return the work in ms per ms that this instance may send to each engine outside its home zone,
-        while only `remaining` is left of some zones; their own engines get no limit. Empty while no capacity
-        is missing, or without a plan for this outage."""
+        while only the part `remaining` of some zones is left. The engines of these zones have no limit. Empty
+        while no capacity is missing, or without a plan for this outage."""
         s, home = self.settings.cross_zone, self.home_zone
         if s is None:
             return {}
@@ -303,8 +303,8 @@
         return {engine: x * parts.get(zone_of.get(engine, ""), 1.0) for engine, x in limits.items()}
 
     def _current_allocation(self, remaining: Mapping[str, float]) -> OutageAllocation | None:
-        """Return the plan's allocation for the present outage; None if no capacity is missing or it has
-        none."""
+        """Return the plan's allocation for the present outage; None if no capacity is missing or the plan has
+        no allocation for it."""
         missing = sorted(zone for zone, part in remaining.items() if part < 1.0 and zone in self.engines)
         if self.plan is None or not missing and not self.settings.limits_when_calm:
             return None
@@ -342,7 +342,7 @@
     def removal_objections(
         self, removed_cores: Mapping[str, float], additional_cores: Mapping[str, float] | None = None
     ) -> list[str]:
-        """Return the reasons against removing these cores by zone, with `additional_cores`; empty if
+        """Return the reasons against removing these cores and `additional_cores`, both by zone; empty if
         afterwards the loss of any single zone would be bearable."""
         plan = self.plan
         if plan is None:
@@ -380,8 +380,8 @@
 
     def _messages(self, now: float, members: list[int]) -> list[tuple[int, bytes]]:
         """Return a round of reports, as (member, message). A report nearly fills a message, so in a large
-        fleet others' reports are relayed in separate messages: so many that each instance receives reports of
-        more than half of the fleet while they are fresh."""
+        fleet others' reports are relayed in separate messages. There are enough of these that each instance
+        receives reports of more than half of the fleet while they are fresh."""
         s = self.settings
         if not members or now < self.next_report:
             return []
--- a/cottonhold/fleet/failover_cost/estimator_settings.py
+++ b/cottonhold/fleet/failover_cost/estimator_settings.py
@@ -22,14 +22,14 @@
         idle_snapshot_interval_ms: Time between two snapshots otherwise.
         plan_ttl_ms: How long a plan is valid without fresh reports of enough instances.
         report_interval_ms: Mean time between two rounds of reports.
-        gossip_from_members, gossip_fanout: As for demand reports.
+        gossip_from_members, gossip_fanout: As in `DemandSettings`.
         memory_ms: Time constant of the record of which data sets are warm in which zones.
         max_zones_for_pairs: Maximum number of zones with which the loss of each pair is foreseen.
         min_bearable_share: Part of the utility offered, or of the utility served now if that is less, that
             must be served if any one zone is lost.
         warming_share: Part of the cores that cold engines provide at first.
-        min_retained_share: A smaller part of a zone isn't retained: it isn't worth the queries that it
-            delays.
+        min_retained_share: Least part of a zone's load that is retained; a smaller part isn't worth the
+            queries that it delays.
         snapshot, cost, hysteresis: Settings of these parts.
         cross_zone: Settings of the limits for cross-zone work while capacity is missing; None for no limits.
         limits_when_calm: Whether the limits apply even if no capacity is missing.
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -1,9 +1,9 @@
 """The fleet as all reports together describe it: homes with their demand, zones with their capacity. Pure.
 
-A home is a zone as the place of clients: their work may be served by its own or by other zones. All instances
-with the same reports have the same snapshot, to the bit, in whatever order the reports arrived: sums are
-exact (`fsum`) over sorted members, and a single value is the lower median of those reported. The claims of
-one instance are capped (see SnapshotSettings).
+A home is a zone in its role as the location of clients, whose work this zone or other zones may serve. All
+instances with the same reports have the same snapshot, to the bit, in whatever order the reports arrived:
+sums are exact (`fsum`) over sorted members, and a single value is the lower median of those reported. The
+claims of one instance are capped (see SnapshotSettings).
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
     """Settings of snapshots.
 
     Attributes:
-        max_claim_share: Maximum part of all cores that one instance's demand counts for; its densest work is
-            kept.
-        max_skew: Maximum of that part as a multiple of an even part per instance.
+        max_claim_share: Maximum demand of one instance that is included, as a part of all cores; its densest
+            work is kept.
+        max_skew: The same maximum as a multiple of an even part for each instance.
         quorum_share: A snapshot needs the reports of more than this part of the live instances.
         default_round_trip_ms: Round trip to a zone that nobody has measured.
     """
@@ -92,7 +92,7 @@
     Attributes:
         zones: The zones by name, in order.
         homes: The homes by name, in order.
-        excess_cores: Cores that all requests take now beyond the estimates; None if unknown.
+        excess_cores: Cores that all requests use now beyond the estimates; None if unknown.
     """
 
     zones: Mapping[str, ZoneSnapshot]
@@ -121,7 +121,7 @@
         reports: One report of each instance.
         engines: Cores by zone and engine, according to the list.
         live_count: Number of live instances.
-        available_shares: The usable part of each zone; zones that are not named have all.
+        available_shares: The usable part of each zone; zones that are not named are fully usable.
         settings: Settings of snapshots.
     """
     s, sites = settings or SnapshotSettings(), sorted(reports, key=lambda site: site.member)
--- a/cottonhold/fleet/failover_cost/messages.py
+++ b/cottonhold/fleet/failover_cost/messages.py
@@ -34,10 +34,10 @@
 DATA_SET_ENTRY = struct.Struct("!HB")
 FILTER_BITS = 96
 SECOND_HASH_FACTOR = 31  # spreads the rest of a number's bits over the filter
-MAX_DATA_SETS = 8  # the most used data sets of a report
-MAX_ZONES = 8  # the nearest zones of a report
+MAX_DATA_SETS = 8  # maximum number of data sets in a report, which has the most used ones
+MAX_ZONES = 8  # maximum number of zones in a report, which has the nearest ones
 MAX_BYTE = 255
-SHARE_STEPS = 255.0  # steps of a share of one
+SHARE_STEPS = 255.0  # encoded value of a share of one
 # A byte b encodes the time MIN_CODED_MS * CODE_GROWTH ** (b - 1), up to 24 s; the byte 0 encodes 0 ms.
 MIN_CODED_MS, CODE_GROWTH = 0.1, 1.05
 UNKNOWN_CORES = -1.0
@@ -69,7 +69,7 @@
         rates: Offered work by density step, in cores.
         data_set_shares: Parts of that work by number of data set.
         zones: Observations of zones, by number.
-        excess_cores: Cores that the clients' requests take now beyond the estimates; negative if unknown.
+        excess_cores: Cores that the clients' requests use now beyond the estimates; negative if unknown.
     """
 
     member: int
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -33,7 +33,7 @@
 from cottonhold.fleet.failover_cost.simplex import allocate
 
 MIN_RETAINED_UTILITY = 0.05  # part of the utility that remains at any distance
-MIN_CORES = 1e-6  # less work counts as none
+MIN_CORES = 1e-6  # less work is ignored
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,8 +48,8 @@
         threshold: The admission threshold in the scenario; None if (almost) all demand is served.
         added_round_trip_ms: Mean additional round trip of the moved work.
         moved_cores: The moved work, in cores.
-        extra_cold_cores: Cores of cold work more than now, as the mean over the window; negative if sharing
-            of engines ends.
+        extra_cold_cores: Cores of cold work in addition to those used now, as the mean over the window;
+            negative if data sets that share engines now no longer do so.
         free_cores: Cores that are left in each zone.
         warm_ms: Time until nine in ten of the moved uses are warm.
         return_ms, return_work_ms: Duration and cold work of the zones' return if they return cold.
@@ -92,8 +92,8 @@
     success_shares: Mapping[str, float] | None = None,
 ) -> AllocationProblem:
     """Return the problem to solve if the part `remaining` of each zone is left and `success_shares` of the
-    attempts there succeed. Other homes may use of a partly available zone what exceeds the share of the whole
-    zone that is reserved for its own clients."""
+    attempts there succeed. In a partly available zone other homes may use the cores beyond the share of the
+    whole zone that is reserved for its own clients."""
     s, zones = settings, snapshot.zones
     available = {zone: view.available_share * remaining.get(zone, 1.0) for zone, view in zones.items()}
     capacity = {zone: view.cores * available[zone] * s.usable_capacity_share for zone, view in zones.items()}
@@ -141,7 +141,7 @@
 def _cost_factors(
     snapshot: FleetSnapshot, name: str, open_zones: list[str], settings: CostSettings
 ) -> dict[tuple[str, str], float]:
-    """Return the cores that a core of a home's work takes in other zones, because of data that is cold
+    """Return the cores that a core of a home's work needs in other zones, because of data that is cold
     there."""
     others = [zone for zone in open_zones if zone != name]
     share = 1 / max(len(others), 1)
@@ -216,9 +216,9 @@
 ) -> Projection:
     """Return the cost if the part `remaining` of these zones were left.
 
-    If excess work beyond the estimates is reported, cold work counts relative to it: the reasons for which
-    data doesn't stay warm in normal operation are unknown here. `current` is the allocation without the loss,
-    and `solution` the result of `solve_with_cold_work`, if they are known.
+    If excess work beyond the estimates is reported, cold work is measured relative to it, because the model
+    doesn't include why data doesn't stay warm in normal operation. `current` is the allocation without the
+    loss, and `solution` the result of `solve_with_cold_work`, if they are known.
     """
     s = settings or CostSettings()
     baseline = current or solve_with_cold_work(snapshot, {}, s).allocation
@@ -259,7 +259,7 @@
 
 
 def _usual_cold_cores(snapshot: FleetSnapshot, usual: ZoneFlows, settings: CostSettings) -> float:
-    """Return the cores of cold work now: as reported, otherwise as the usual flows cause it."""
+    """Return the cores of cold work now: those reported, otherwise those that the usual flows cause."""
     if snapshot.excess_cores is not None:
         return snapshot.excess_cores
     return _cold_cores(snapshot, usual, settings)
@@ -301,10 +301,10 @@
 
 
 def flows_served_now(snapshot: FleetSnapshot, flows: ZoneFlows) -> dict[tuple[str, str], float]:
-    """Return the work served now, by home and zone: as instances report it, otherwise as allocated.
+    """Return the work served now, by home and zone: that reported by instances, otherwise that allocated.
 
     An allocation serves each home in its own zone as far as possible, while in operation all zones may serve
-    it alike.
+    it equally.
     """
     served = dict[tuple[str, str], float]()
     for home, view in snapshot.homes.items():
--- a/cottonhold/fleet/failover_cost/simplex.py
+++ b/cottonhold/fleet/failover_cost/simplex.py
@@ -20,7 +20,7 @@
 )
 
 MAX_ROUNDS = 600
-RATIO_TOLERANCE = 1e-12  # ratios that differ by less count as equal
+RATIO_TOLERANCE = 1e-12  # ratios that differ by less are treated as equal
 MIN_GAIN_EPSILONS = 10  # minimum gain of an entering column, as a multiple of `min_utility`
 NO_ROW = -1
 
@@ -70,7 +70,7 @@
         zone: The zone's name.
         capacity_row: Row of its capacity.
         cross_zone_row: Row of its cross-zone capacity; NO_ROW if it is the home's own zone.
-        cost_factor: Cores that a core of the home's work takes there.
+        cost_factor: Cores that a core of the home's work needs there.
         retained: Part of the utility that remains there.
     """
 
@@ -152,9 +152,9 @@
     def best_column_of_home(self, home: str, prices: list[float]) -> Column:
         """Return a home's best column at these prices.
 
-        In each step the home uses the zone with the highest utility * retained - cost. A zone that is best at
-        one step stays best until the line of a zone with a larger `retained` crosses its line, so many steps
-        cost no more than few.
+        In each step the home uses the zone with the highest utility * retained - cost. This value is a linear
+        function of utility, so a zone that is best at one step stays best until the line of a zone with a
+        larger `retained` crosses its line. The time therefore hardly depends on the number of steps.
         """
         options = self.options[home]
         costs = [
@@ -165,7 +165,7 @@
         usage, gain, assignments = {self.home_row[home]: 1.0}, 0.0, list[Assignment]()
         begin, count = 0, len(steps)
         while begin < count:
-            # One loop for speed: it runs for each step and zone of each home, hundreds of times a problem.
+            # One loop for speed: it runs for each step and zone of each home, hundreds of times per problem.
             utility, best, chosen = utilities[begin], self.min_utility, -1
             best_cost, best_retained, crossing = -self.min_utility, 0.0, math.inf
             for i, (cost, retained) in enumerate(costs):
@@ -188,7 +188,8 @@
         return Column(gain, usage, home, assignments)
 
     def best_column(self, prices: list[float]) -> tuple[Column | None, float]:
-        """Return the column that gains most, if any does, and a bound on what all homes could still gain."""
+        """Return the column with the largest gain, if any has one, and a bound on what all homes could still
+        gain."""
         chosen, highest, all_gains = None, self.min_utility * MIN_GAIN_EPSILONS, 0.0
         for home in self.homes:
             column = self.best_column_of_home(home, prices)
--- a/cottonhold/fleet/failover_cost/site_observations.py
+++ b/cottonhold/fleet/failover_cost/site_observations.py
@@ -22,7 +22,7 @@
 DATA_SET_MEMORY_MS = 2000.0  # time constant of the use of data sets
 MEAN_DECAY = 0.999  # decay per request of the mean work of requests
 ROUND_TRIP_GAIN = 0.1  # weight of a new round trip in the mean
-DEFAULT_WORK_MS = 20.0  # mean work of a request before there is any
+DEFAULT_WORK_MS = 20.0  # assumed mean work of a request before the first request
 MIN_DATA_SET_SHARE = 1e-3  # data sets with a smaller part of the demand are not reported
 MIN_KNOWN_PART = 4  # excess work is reported after a fourth of its time constant: few answers mean little
 
@@ -136,7 +136,7 @@
         return warm_filter
 
     def _excess_cores(self, now: float) -> float:
-        """Return the cores that this instance's requests take beyond the estimates."""
+        """Return the cores that this instance's requests use beyond the estimates."""
         known_ms = now - self.excess_known_since
         if known_ms < self.memory_ms / MIN_KNOWN_PART:
             return UNKNOWN_CORES
--- a/cottonhold/fleet/failover_cost/snapshot_plan.py
+++ b/cottonhold/fleet/failover_cost/snapshot_plan.py
@@ -19,7 +19,7 @@
     solve_with_cold_work,
 )
 
-ZoneParts = tuple[tuple[str, float], ...]  # zones that have less than all, in order, and their parts
+ZoneParts = tuple[tuple[str, float], ...]  # zones that are not fully usable, in order, and their usable parts
 Shares = tuple[tuple[str, float], ...]  # zones and their parts of the work, largest first
 RetentionQuestion = tuple[str, float, float]  # zone, available part of its cores, successful part of attempts
 
@@ -56,9 +56,10 @@
     Attributes:
         made_at: When the snapshot was taken, in ms.
         snapshot: The fleet as the reports describe it.
-        remaining: The part of each zone that was usable then; zones that are not named had all.
+        remaining: The part of each zone that was usable then; zones that are not named were fully usable.
         settings: Settings of the cost model.
-        foreseen: Additional outages that may be asked for, each as the names of its zones in order.
+        foreseen: Additional outages for which results may be requested, each as the names of its zones in
+            order.
         retained_shares, outage_allocations, projections, solutions, flows_by_remaining: Results so far.
         applied_questions: Questions whose results have been applied to the stable answers.
     """
@@ -80,7 +81,8 @@
     ) -> Solution:
         """Return the best allocation if these parts of zones remain.
 
-        `success_shares` is the part of the attempts that succeed, by zone; zones that are not named have all.
+        `success_shares` is the part of the attempts that succeed, by zone; in zones that are not named all
+        succeed.
         """
         key = _parts(remaining), _parts(success_shares or {})
         if key not in self.solutions:
@@ -129,7 +131,7 @@
         return self.outage_allocations[lost_zones]
 
     def _outage_allocation(self, lost_zones: tuple[str, ...]) -> OutageAllocation | None:
-        """Compute an allocation. A zone whose outage began after the snapshot counts as wholly out."""
+        """Compute an allocation. A zone whose outage began after the snapshot is treated as wholly out."""
         is_current = self.remaining.keys() == set(lost_zones)
         if not is_current and lost_zones not in self.foreseen:
             return None
