--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -1,8 +1,8 @@
 """Engines of the list before a power loss, used until a source of the list responds. Pure.
 
-A record is only a hint where an engine was: slow start sends nothing to it before it has answered. The first
-response of a source replaces all records. Engines that were draining or failing are not cached, since they
-were to receive nothing new.
+A record is only a possibly outdated hint of where an engine is, so slow start sends nothing to the engine
+before it has answered. The first response of a source replaces all records. Engines that were draining or
+failing are not cached, since no new requests were to be sent to them.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class CachedEngine(msgspec.Struct, array_like=True, frozen=True):
-    """What is cached of one engine. Zone and machine type are names, since their numbers depend on the
+    """The cached data of one engine. Zone and machine type are names, since their numbers depend on the
     configuration."""
 
     address: str
@@ -105,7 +105,7 @@
         return Record(RecordKind.ENGINE_ADDRESS, engine_id.encode(), None)
 
     def _to_cached(self, engine: Engine, address: Address | None) -> CachedEngine | None:
-        """Return what to cache of an engine; None if its address is unknown or too many are cached."""
+        """Return the data to cache of an engine; None if its address is unknown or too many are cached."""
         known = self.engines.get(engine.id)
         known_address = known.address if known is not None else ""
         current_address = str(address) if address is not None else known_address
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -10,8 +10,8 @@
     cancel     when the client of a retry has disconnected, or the load will not be sent after all
 
 `step` processes the findings of the membership survey; call it at `next_at` and after each step of the
-survey. `on_message` processes messages of other dispatchers. Both return actions. While `has_pending`, the
-survey must be `expedite`d: its proofs of silence must be newer than the retry.
+survey. `on_message` processes messages of other dispatchers. Both return actions. While `has_pending`, call
+the survey's `expedite`, because its proofs of silence must be newer than the retry.
 
 Rule: if this instance has a record of the load, that record decides. Otherwise every other configured
 dispatcher must either answer a query about this retry that it never sent the load, or be proven silent. A
@@ -203,7 +203,8 @@
     def _statement(self, now: float, number: int, load: bytes) -> LoadStatement:
         """Return this instance's answer to another dispatcher that has a retry of a load.
 
-        With an empty folder, which has no record of what the last boot sent, it is never NEVER_SENT.
+        It is not NEVER_SENT for a load that may predate this start unless the memory is intact and
+        confirmed, because the folder may lack records of what earlier boots sent.
         """
         queried = self.local.record_query(now, load, number)
         if queried is None:
@@ -274,7 +275,7 @@
         self.queries.expire(now - QUERY_LIFETIME_RETRIES * self.settings.max_retry_ms)
 
     def _try_to_settle(self, now: float, load: bytes, pending: PendingRetry) -> None:
-        """Settle a retry if what is known suffices."""
+        """Settle a retry if the answers and the findings of the survey suffice."""
         statements = pending.statements.values()
         if LoadStatement.SUCCEEDED in statements:
             self._settle(load, LoadKnowledge.SUCCEEDED)
@@ -343,9 +344,9 @@
         """Return the answer to a retry that could not be settled before its deadline.
 
         A dispatcher that answered UNKNOWN may later answer NEVER_SENT for what it sent before it lost its
-        memory, so the load is given up. Otherwise the client may retry later if half of the fleet has
+        memory, so the answer is MAY_HAVE_RUN. Otherwise the client may retry later if half of the fleet has
         recorded the retry: any set of dispatchers that settles it as NEVER_SENT includes one of these, which
-        knows since when it is queried.
+        has recorded when the load was first queried.
         """
         if LoadStatement.UNKNOWN in pending.statements.values():
             return LoadKnowledge.MAY_HAVE_RUN
--- a/cottonhold/fleet/recovery/load_history_interface.py
+++ b/cottonhold/fleet/recovery/load_history_interface.py
@@ -24,8 +24,8 @@
         max_retry_ms: Longest time between two repetitions of a query, and between two announcements.
         retry_after_ms: Advised pause before a client retries after NOT_KNOWN_YET.
         max_unconfirmed_ms: How long a retry that too few others have recorded is answered NOT_KNOWN_YET.
-            Several pauses less than the slack of `retention_ms_for`.
-        announcements: How often open loads of earlier boots are announced.
+            It is shorter than the slack of `retention_ms_for` by several advised pauses.
+        announcements: Number of times that open loads of earlier boots are announced.
         max_loads: Maximum number of sent, of queried and of pending loads each; beyond it retries are
             answered NOT_KNOWN_YET without a query.
     """
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetState:
-    """What the membership survey knows.
+    """The findings of the membership survey.
 
     Attributes:
         may_send_loads: Whether this instance may send loads now.
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -29,10 +29,10 @@
     """Return how long after it was sent a load must stay recorded, in ms.
 
     A client that sends its first request at t waits for at most the longest deadline L. At t + L at the
-    latest it knows that the request failed and retries; that retry waits for at most L as well. So what was
-    sent at t is queried until t + 2 L. The slack covers retries after a pause. A retry that was answered
-    NOT_KNOWN_YET may be repeated after that, so the age of a retry counts from its first query here or at any
-    dispatcher queried.
+    latest the client has learned that the request failed, and retries; that retry waits for at most L as
+    well. So what was sent at t is queried until t + 2 L. The slack covers retries after a pause. A retry that
+    was answered NOT_KNOWN_YET may be repeated after that, so the age of a retry is measured from its first
+    query here or at any dispatcher queried.
     """
     return 2 * max(deadlines_ms, default=0.0) + slack_ms
 
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class SentLoad:
-    """What this instance knows of a load that it sent.
+    """This instance's record of a load that it sent.
 
     Attributes:
         open_runs: Runs that have not ended.
@@ -95,7 +95,7 @@
 
 
 class LocalLoads:
-    """The loads that this instance knows of: sent, queried and reported ones, at most `max_loads` of each."""
+    """The loads recorded by this instance: sent, queried and reported ones, at most `max_loads` of each."""
 
     def __init__(
         self, now: float, recorded: Sequence[RecordedLoad], retention_ms: float, max_loads: int
@@ -134,7 +134,7 @@
                 del self.entries[load]
 
     def knowledge(self, now: float, load: bytes) -> LoadKnowledge | None:
-        """Return what the records say of a load; None if they don't decide."""
+        """Return what follows from the records of a load; None if they don't decide."""
         entry = self.entries.get(load)
         may_run = entry is not None and (entry.open_runs or entry.may_have_run)
         if may_run or self.reported.get(load, -math.inf) > now:
@@ -153,7 +153,7 @@
         return queried
 
     def add_reported(self, now: float, loads: Iterable[bytes]) -> None:
-        """Record loads whose end another instance does not know; they may have run."""
+        """Record loads whose result another instance does not know; they may have run."""
         for load in loads:
             if len(self.reported) < self.max_loads:
                 self.reported.setdefault(load, now + self.retention_ms)
@@ -174,7 +174,7 @@
         """Drop what can't be queried any more, except pending loads.
 
         During a partition and one retention after it, entries are kept while there is capacity: clients on
-        the other side may have been asked to retry later for all that time.
+        the other side may have been told to retry later during all of that time.
         """
         pending_loads, oldest = set(pending), now - self.retention_ms
         expired = {load for load, entry in self.entries.items() if entry.expires_at <= now}
--- a/cottonhold/fleet/recovery/membership_survey.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -10,10 +10,10 @@
 Each configured dispatcher has a number, and the first member that claims a number is bound to it, so that
 each member has one vote whatever it reports. A member that claims a second number is ignored.
 
-An instance counts as restarted if it started less than `recent_start_ms` ago and its last incarnation was not
-shut down cleanly. Uptimes are reported, so the instances' clocks are never compared. If more than half of the
-configured instances restarted, the fleet counts as lost for `recent_start_ms` from the first of their starts.
-Instances that return later belong to that outage too.
+An instance is regarded as restarted if it started less than `recent_start_ms` ago and its last incarnation
+was not shut down cleanly. Uptimes are reported, so the instances' clocks are never compared. If more than
+half of the configured instances restarted, the fleet is regarded as lost for `recent_start_ms` from the first
+of their starts. Instances that return later belong to that outage too.
 
 `silence_proof` describes when another instance is proven to be silent.
 """
@@ -48,9 +48,9 @@
     ViewChanged,
 )
 
-BATCHING_MS = 20.0  # delay from a report to the step that processes it, with others that arrive meanwhile
+BATCHING_MS = 20.0  # delay of a step after a report, so that it processes several reports together
 EXPEDITED_MS = 1000.0  # how long reports are sent at the busy interval after `expedite`
-MIN_WITNESSES = 2  # others that must agree on this instance, since a single one may be faulty
+MIN_WITNESSES = 2  # other instances that must report the same of this one, since a single one may be faulty
 
 
 class MembershipSurvey:
@@ -91,7 +91,7 @@
             for n in range(dispatchers)
             if n != number
         }
-        self.checkpoint = self.requested_checkpoint = checkpoint  # stored; requested to be stored
+        self.checkpoint = self.requested_checkpoint = checkpoint  # stored value; value to be stored
         self.is_memory_confirmed = self.is_memory_disputed = False
         self.checkpoint_requested_at = now
         self.number_by_member: dict[int, int] = {}
@@ -99,7 +99,7 @@
         self.next_target = 0  # index in `live` of the member that receives the next report
         self.rotation = 0  # rotates the peers that a report contains
         self.view = SurveyView()
-        self.past_outage_until = -math.inf  # starts up to then belong to an earlier loss of the fleet
+        self.past_outage_until = -math.inf  # starts until this time belong to an earlier loss of the fleet
         self.quorum_reachable_at = now  # when half of the configured dispatchers were last reachable
         self.duplicate: DuplicateIdentity | None = None
         self.actions: list[Action] = []
@@ -130,8 +130,8 @@
         self.next_step = min(self.next_step, self.next_report)
 
     def on_message(self, now: float, member: int, presence: Presence) -> None:
-        """Process a member's report on itself. A new incarnation is answered immediately, since it needs to
-        learn what others know of it."""
+        """Process a member's report on itself. A new incarnation is answered immediately, since it needs the
+        others' records of its number."""
         peer = self._bind(now, member, presence.number)
         if peer is None:
             self.counters["unbound"] += 1
@@ -200,7 +200,7 @@
         return 2 * (1 + sum(p.acknowledged_sent_at > oldest for p in self.peers.values())) >= self.dispatchers
 
     def has_confirmed_memory(self) -> bool:
-        """Return whether the memory is intact and others with intact memory know of no later checkpoint."""
+        """Return whether the memory is intact and others with intact memory have no later checkpoint."""
         is_intact = self.memory is MemoryState.INTACT
         return is_intact and self.is_memory_confirmed and not self.is_memory_disputed
 
@@ -270,8 +270,8 @@
         return SurveyView(verdict, first_start, is_settled, zones, restarted, frozenset(reachable), missing)
 
     def _restarted_since(self, now: float) -> float:
-        """Return the time since when a start counts as a restart: during a loss of the fleet its first start;
-        once it is over, only starts after its end."""
+        """Return the time from which a start is regarded as a restart: during a loss of the fleet just before
+        its first start, afterwards no earlier than the end of the loss."""
         since = max(now - self.settings.recent_start_ms, self.past_outage_until)
         if self.view.verdict is not OutageVerdict.FLEET:
             return since
@@ -297,8 +297,9 @@
         return 2 * len(numbers) > self.dispatchers
 
     def _check_identity(self) -> None:
-        """Raise the boot count, or report a duplicate, if MIN_WITNESSES others know more of this number than
-        its folder. A single faulty one could use up the boot counts and make the memory stale."""
+        """Raise the boot count, or report a duplicate, if MIN_WITNESSES others report later values than the
+        folder's or a second process. A single faulty one could use up the boot counts and make the memory
+        stale."""
         witnesses = min(MIN_WITNESSES, len(self.peers))
         if not witnesses:
             return
@@ -316,7 +317,7 @@
             self.actions.append(self.duplicate)
 
     def _exceeds_folder(self, view: PeerState) -> bool:
-        """Return whether a peer knows a later boot count or checkpoint of this number than the folder."""
+        """Return whether a peer reports a later boot count or checkpoint of this number than the folder's."""
         if view.incarnation != self.incarnation:
             return False
         return view.boot_count > self.boot_count or view.is_stale and self.memory is MemoryState.INTACT
@@ -341,9 +342,9 @@
     def _confirm_memory(self, now: float) -> None:
         """Determine whether others confirm the memory of this incarnation.
 
-        A single peer that knows of a later checkpoint suffices to doubt it, since peers that were cut off
-        when it was last intact know nothing later. A doubt delays retries by at most one retention. All views
-        must have arrived or been waited for: the first peer to report may know the least.
+        The memory is disputed if a single peer has recorded a later checkpoint, since peers that were cut off
+        while it was last intact have none. A dispute delays retries by at most one retention.
+        All views must have arrived or been waited for: the first peer to report may have the oldest records.
         """
         witnesses = [
             peer
@@ -360,8 +361,8 @@
         self.is_memory_confirmed |= self.dispatchers == 1 or has_enough_views and len(views) >= needed
 
     def _next_checkpoint(self, now: float) -> int:
-        """Return the checkpoint of an intact memory. It grows with time, so that others know a later one than
-        that of a backup made in this incarnation and restored after it."""
+        """Return the checkpoint of an intact memory. It grows with time, so that others have recorded a
+        later one than that of a backup of the folder made in this incarnation and restored after it."""
         s = self.settings
         interval_ms = max(
             s.checkpoint_interval_ms, s.checkpoint_interval_per_dispatcher_ms * self.dispatchers
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -54,7 +54,7 @@
 
 
 class MemoryState(IntEnum):
-    """What an instance still knows of the time before its start."""
+    """The completeness of an instance's records of the time before its start."""
 
     EMPTY = 0  # the folder was empty, so what the instance sent before is unknown
     INTACT = 1  # the folder is complete up to the power loss
@@ -62,7 +62,7 @@
 
 
 class LoadStatement(IntEnum):
-    """What one instance answers to a query about a load; of several answers the highest counts most."""
+    """One instance's answer to a query about a load; of several, SUCCEEDED and then MAY_HAVE_RUN decide."""
 
     NEVER_SENT = 0  # it has not sent the load, and will query the others before it does
     ALSO_QUERIED = 1  # as NEVER_SENT, and a dispatcher other than the querying one has queried it too
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerState:
-    """What the sender of a report knows of a dispatcher.
+    """What the sender of a report has recorded of a dispatcher.
 
     Attributes:
         number: The dispatcher's number.
@@ -123,8 +123,8 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadQuery:
-    """Asks what the receiver knows of loads; `boot_count` is the sender's, and `serial` is unique in that
-    boot."""
+    """A query for the receiver's records of loads; `boot_count` is the sender's, and `serial` is unique in
+    that boot."""
 
     boot_count: int
     serial: int
@@ -150,7 +150,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenLoads:
-    """Loads that earlier boots of the sender sent, and whose end it does not know."""
+    """Loads that earlier boots of the sender sent, and whose result it does not know."""
 
     loads: tuple[bytes, ...]
 
@@ -206,7 +206,7 @@
     """Return the message that these bytes encode.
 
     Raises:
-        MessageError: The bytes are no valid message of recovery; then nothing of it may be applied.
+        MessageError: The bytes are no valid message of recovery; then no part of it may be applied.
     """
     try:
         if data[:1] == bytes((PRESENCE,)):
@@ -219,8 +219,8 @@
         if kind == LOAD_ANSWER:
             return LoadAnswer(boot_count, serial, _decode_verdicts(data, count))
     except (struct.error, IndexError):
-        raise MessageError("truncated") from None
-    raise MessageError("not a recovery message")
+        raise MessageError("truncated recovery message") from None
+    raise MessageError("unknown kind of recovery message")
 
 
 def _decode_presence(data: bytes) -> Presence:
--- a/cottonhold/fleet/recovery/peer_observations.py
+++ b/cottonhold/fleet/recovery/peer_observations.py
@@ -146,7 +146,7 @@
 
         Args:
             now: The current time.
-            min_alternations: Alternations or rival reports from which it counts as two processes.
+            min_alternations: Number of alternations or rival reports from which two processes are assumed.
         """
         incarnation = self.current
         if incarnation is None:
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -3,8 +3,9 @@
 An engine that has just started, or may have, has a share: the part of its full capacity that all instances
 together may send to it. The share is 0 until the engine is listed or has answered; then it is what a cold
 engine can process. From there it grows with the results of the engine's answers at all instances, not with
-time. An engine that shows its full speed is warm and becomes free. See docs/design/power-loss-order.md. Times
-are ms of this instance's monotonic clock; work is in ms as a warm engine would need.
+time. An engine that shows its full speed is warm and becomes free, that is, it is no longer limited. See
+docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms as a warm
+engine would need.
 """
 
 from __future__ import annotations
@@ -31,12 +32,12 @@
 
 MAX_WARM_ENTRIES = 5  # maximum number of warm engines that others still limit, in a report of a large fleet
 MIN_WARMUP_LIMIT = 1e-9  # used instead of 0: the scheduler ignores limits if none allows any work
-STEP_TOLERANCE_MS = 1.0  # how much too early a timer may call `step`
+STEP_TOLERANCE_MS = 1.0  # time by which a timer may call `step` too early
 ROTATION_MULTIPLIER = 0x9E3779B1  # 2^32 / golden ratio: spreads successive versions over all engine numbers
 
 
 class OutageScope(Enum):
-    """What was away, as found by the membership survey."""
+    """Which instances were away, as found by the membership survey."""
 
     ALONE = "alone"  # only this instance
     ZONE = "zone"
@@ -98,10 +99,10 @@
     ) -> None:
         """Process an outage that the membership survey has found.
 
-        After the loss of a zone or of the fleet its free engines count as just started and must answer first.
-        An engine that has answered since then keeps at least the age that follows from its first answer, and
-        one that already warms up continues. If only this instance was away, engines that no other instance
-        limits become free.
+        After the loss of a zone or of the fleet its free engines are regarded as just started and must answer
+        first. An engine that has answered since then keeps at least the age that follows from its first
+        answer, and one that already warms up continues. If only this instance was away, engines that no other
+        instance limits become free.
 
         Args:
             now: The current time.
@@ -147,7 +148,7 @@
             self._start(now, engine, now).has_answered = True
 
     def on_engine_unreachable(self, now: float, engine: str) -> None:
-        """Block an engine until it has answered; then it counts as just started."""
+        """Block an engine until it has answered; then it is regarded as just started."""
         self.answering_since.pop(engine, None)
         if engine in self.engines:
             self._start(now, engine, now).has_answered = False
@@ -172,7 +173,7 @@
             engine: The engine that answered.
             succeeded: Whether the attempt succeeded.
             work_ms: The work as reported by the engine, or as estimated for the query; 0 if neither is known,
-                so that the answer only proves that the engine is there.
+                so that the answer only proves that the engine is running.
             elapsed_ms: How long the answer took.
         """
         self._record_answering(now, engine, succeeded)
@@ -181,7 +182,8 @@
             return
         warming.was_tried = True
         if not succeeded:
-            # A listed engine that has failed before any successful answer no longer counts as capacity.
+            # A listed engine that has failed before any successful answer is no longer included in the
+            # capacity.
             warming.has_answered = warming.has_answered and bool(warming.answers)
             return
         if not warming.has_answered:
@@ -228,14 +230,14 @@
         return warm, sum(w.cores * w.share for w in self.warming.values() if w.has_answered)
 
     def assumed_share(self) -> float:
-        """Return the share that an untried engine counts for just after a start: what a cold engine can
-        process, times the part of the tried engines that answered. So engines of a zone that is down soon
-        count for little."""
+        """Return the share that is assumed of an untried engine just after a start. It is the highest share
+        of a cold engine, times the part of the tried engines that answered, so it soon becomes small for a
+        zone that is down."""
         answered = [warming.has_answered for warming in self.warming.values() if warming.was_tried]
         return self.settings.max_cold_share * (sum(answered) + 1) / (len(answered) + 1)
 
     def share_after_start(self, engine: str, assumed_share: float) -> float:
-        """Return the share that an engine counts for just after this instance's start."""
+        """Return the share that is assumed of an engine just after this instance's start."""
         warming, share = self.warming.get(engine), self.share(engine)
         if warming is None or warming.was_tried:
             return max(share, self.settings.max_cold_share) if share else 0.0
@@ -244,8 +246,8 @@
     def retry_after_ms(self, lacking_cores: float) -> float:
         """Return how long a client that is rejected now should wait before it retries.
 
-        It is the same at all instances: one that has just started and still collects reports would promise
-        capacity before engines are warm.
+        It is the same at all instances, because an instance that has just started and still collects reports
+        would estimate a time before the engines are warm.
         """
         return self.settings.retry_after_ms if lacking_cores > 0 else 0.0
 
--- a/cottonhold/fleet/recovery/slow_start_settings.py
+++ b/cottonhold/fleet/recovery/slow_start_settings.py
@@ -7,7 +7,7 @@
 from cottonhold.fleet.zone_failover.messages import zone_number
 from cottonhold.fleet.zone_failover.quota_lending import QuotaSettings
 
-WARMUP_BUDGET = zone_number("cold engines")  # divided in quotas as that of a zone is
+WARMUP_BUDGET = zone_number("cold engines")  # divided into quotas like the budget of a zone
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,21 +22,22 @@
         queueing_ratio: A speed of answers below this part of the work done means that queries queue at the
             engine.
         drain_factor: Part of the observed rate that is sent while queries queue there.
-        max_cold_share: Highest share of an engine that is not warm, whatever it shows: it may become
+        max_cold_share: Highest share of an engine that is not warm, whatever speed it shows: it may become
             overloaded abruptly, without slowing down first.
-        warm_speed: Speed from which an engine counts as warm if it lasts for `warm_confirmation_ms`.
+        warm_speed: Speed from which an engine is regarded as warm if the speed lasts for
+            `warm_confirmation_ms`.
         doubtful_speed: Speed below which that time starts again.
         warm_confirmation_ms: How long an engine must show `warm_speed`.
         max_report_age_ms: Age from which reports are ignored.
         checker_slot_ms: Time slot in which one dispatcher may check an engine first.
-        max_duration_ms: Time after which an engine is free whatever it shows, so that a slow one isn't
+        max_duration_ms: Time after which an engine is free whatever speed it shows, so that a slow one isn't
             limited forever.
         warm_after_ms: Time after its start at which an engine is warm according to the configuration.
         gossip_from_members, gossip_fanout: As for zone reports.
         gossip_interval_ms: Time between two steps with `gossip_from_members` or more members.
-        settle_ms: Time after this instance's start in which little is known of engines; they count for the
-            share that they probably can process.
-        retry_after_ms: Advised pause for a client that is rejected meanwhile.
+        settle_ms: Time after this instance's start during which it has few reports on engines and assumes the
+            share that they can probably process.
+        retry_after_ms: Advised pause for a client that is rejected while engines warm up.
         quota: How the budget is divided among instances; most of a quota is never lent.
     """
 
--- a/cottonhold/fleet/recovery/survey_results.py
+++ b/cottonhold/fleet/recovery/survey_results.py
@@ -12,14 +12,15 @@
     """Settings of the membership survey; times are in ms.
 
     Attributes:
-        recent_start_ms: Time after its start during which an instance counts as restarted. Longer than the
-            difference between the slowest and the fastest start of a machine after the same power loss, and
-            than the warm-up of engines.
+        recent_start_ms: Time after its start during which an instance is regarded as restarted. Longer than
+            the difference between the slowest and the fastest start of a machine after the same power loss,
+            and than the warm-up of engines.
         settle_ms: Time after the start for which missing instances are waited for. It allows for the start of
             a process and three rounds of reports of which a third is lost.
-        max_report_age_ms: Age of its last report from which an instance counts as missing: five idle rounds.
-        busy_interval_ms: Time between two rounds of reports while an instance counts as restarted or a load
-            waits for reports.
+        max_report_age_ms: Age of its last report from which an instance is regarded as missing: five idle
+            rounds.
+        busy_interval_ms: Time between two rounds of reports while an instance is regarded as restarted or a
+            load waits for reports.
         idle_interval_ms: Time between two rounds of reports otherwise.
         max_messages: Messages per step, so that received messages don't grow with the square of the fleet.
         lease_ms: How long a confirmed report allows an instance to send loads (see silence_proof). With
@@ -28,8 +29,8 @@
         rebind_ms: Silence of the member bound to a number after which another may claim it, for instance
             because its machine was replaced.
         retention_ms: As in LoadHistorySettings.
-        min_alternations: How often two incarnations must have reported in turns to count as two processes at
-            the same time; delayed datagrams of an ended one arrive singly.
+        min_alternations: Number of times that two incarnations must have reported in turns to be regarded as
+            simultaneous processes; delayed datagrams of an ended one arrive singly.
         checkpoint_interval_ms: Minimum time between two checkpoints. A copy of a folder is detected if a
             checkpoint was made and reported after the copy.
         checkpoint_interval_per_dispatcher_ms: Minimum time between two checkpoints per configured dispatcher.
@@ -52,7 +53,7 @@
 
 
 class OutageVerdict(Enum):
-    """What was away.
+    """The extent of an outage: which instances were away.
 
     NOTHING   no instance
     ALONE     only this instance
@@ -72,10 +73,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SurveyView:
-    """What the survey has found.
+    """The findings of the survey.
 
     Attributes:
-        verdict: What was away.
+        verdict: The extent of the outage.
         first_start: Earliest start of the restarted instances, in ms of this instance's clock.
         is_settled: Whether no instance is waited for any more.
         restarted_zones: Zones all of whose dispatchers restarted.
@@ -140,7 +141,7 @@
     """Action: store the folder's checkpoint.
 
     The checkpoint identifies the boot and the mark up to which the folder's loads are complete. 0 means that
-    they are incomplete, so that an empty or old folder that is started twice does not count as complete.
+    they are incomplete, so that an empty or old folder that is started twice is not regarded as complete.
     """
 
     checkpoint: int
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -32,15 +32,15 @@
 WARMUP_REPORTS = 16  # the kind of message
 HEADER = struct.Struct("!QIIB")
 ENTRY = struct.Struct("!IBBBB")
-MAX_ENGINES = (MAX_MESSAGE_BYTES - LIST_HEADER_BYTES - HEADER.size) // ENTRY.size  # per report
+MAX_ENGINES = (MAX_MESSAGE_BYTES - LIST_HEADER_BYTES - HEADER.size) // ENTRY.size  # in one report
 MAX_BYTE = 255
 SHARE_STEPS = 255
-SPEED_STEPS = 170.0  # steps of a speed of one, so that 1.5 can be encoded
+SPEED_STEPS = 170.0  # encoded value of a speed of one; 1.5 can be encoded too
 WORK_STEPS = 1000.0  # scale of the work done; its square root is encoded, for resolution at small values
 ROOT_STEPS = 5
 AGE_STEP_MS = 100.0
 WINDOW_MS = 600.0  # time that an observation covers
-UNLIMITED_SHARE = 1.0  # a share that limits nothing
+UNLIMITED_SHARE = 1.0  # share of an engine without a limit
 SHARE_QUORUM = 3  # observations that are needed to agree on a share
 CLAIM_FACTOR = 3  # the work done of one instance is capped at this many times the median
 
@@ -149,8 +149,8 @@
 ) -> PooledObservation:
     """Pool the observations of one engine.
 
-    No instance may claim far more work than the median, nor may its speed alone count: a faulty one must not
-    raise the share for all.
+    No instance may claim far more work than the median, and of three or more reported speeds the highest is
+    ignored, because a faulty instance must not raise the share for all.
 
     Args:
         observations: The observations, one of each reporting instance.
