--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -228,7 +228,8 @@
         """Start the return of an evacuated zone if it is due.
 
         An instance whose hold-down is over votes for the return and waits for the majority. If it returned
-        alone, the fleet's votes would make it evacuate the zone again, which would count as a failed return.
+        alone, the fleet's votes would make it evacuate the zone again, which would be recorded as a failed
+        return.
         """
         state.retained_share = evidence.retained_share if evidence.override is None else 0.0
         if evidence.override is Vote.EVACUATE:
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -2,10 +2,10 @@
 
 Each attempt is classified once as good, late or bad. It is bad if it failed or takes several times the usual
 duration of its query class. Each engine has a cumulative sum of log-likelihood ratios (Page's CUSUM) that
-compares its results with those of the best other zone, so that a load that slows down all zones equally
-counts against none of them. A zone's score is the sum over its engines. Each engine contributes at most the
-amount that half of the engines with recent results need to reach the threshold together: one faulty engine
-is not a fault of its zone, however many attempts fail there.
+compares its results with those of the best other zone, so that a load that slows down all zones equally is
+not evidence against any of them. A zone's score is the sum over its engines. Each engine contributes at most
+the amount that half of the engines with recent results need to reach the threshold together: one faulty
+engine is not a fault of its zone, however many attempts fail there.
 """
 
 from __future__ import annotations
@@ -162,7 +162,8 @@
             part.clear()
 
     def bad_share(self) -> float:
-        """Return the share of bad attempts among the newest ones; a fault common to all zones raises each."""
+        """Return the share of bad attempts among the newest ones; a fault common to all zones raises it in
+        each."""
         return self.bad_count / len(self.newest) if self.newest else 0.0
 
     def median_log_ratio(self, count: int) -> float:
@@ -219,7 +220,7 @@
         is_late = elapsed_ms > usual.mean_ms() * self.settings.late_factor
         if succeeded is None:
             # Attempts in a zone that does not answer are cancelled before they are overdue, so a cancelled
-            # attempt that is late counts as slow.
+            # attempt that is late is classified as slow.
             if usual.is_known and is_late:
                 self._add_duration(now, attempt, CANCELLED_DURATION_FACTOR * elapsed_ms)
                 self._add_result(now, attempt, AttemptResult.SLOW)
@@ -276,7 +277,8 @@
                 self._add_result(now, attempt, AttemptResult.SLOW)
 
     def _overdue_after_ms(self, attempt: OpenAttempt) -> float:
-        """Return the age from which an attempt is slow, in ms; infinite while the usual one is unknown."""
+        """Return the age from which an attempt is slow, in ms; infinite while the usual duration is
+        unknown."""
         usual, zone = self.usual_durations.get(attempt.query_class), self.zones.get(attempt.zone)
         if usual is None or zone is None:
             return math.inf
--- a/cottonhold/fleet/zone_failover/messages.py
+++ b/cottonhold/fleet/zone_failover/messages.py
@@ -34,8 +34,8 @@
 
 REPORT_HEADER = struct.Struct("!QIIHIB")
 ZONE_ENTRY = struct.Struct("!HBBBBB")
-MAX_ZONES = 16  # zones in one report
-MAX_REPORTS = 255  # reports in one message
+MAX_ZONES = 16  # maximum number of zones in a report
+MAX_REPORTS = 255  # maximum number of reports in a message
 MAX_COUNT = 255  # largest number of attempts that can be encoded; higher numbers are sent as this one
 MAX_CENTICORES = 0xFFFF  # largest offered load that can be encoded, in hundredths of a core
 SHARE_STEPS = 255  # encoded value of a traffic share of 1
--- a/cottonhold/fleet/zone_failover/operator_overrides.py
+++ b/cottonhold/fleet/zone_failover/operator_overrides.py
@@ -24,7 +24,7 @@
 ENTRY = struct.Struct("!HBIQI")
 MAX_REQUESTED_BY_BYTES = 24
 MAX_REASON_BYTES = 80
-MAX_OVERRIDES = 16  # overrides that an instance stores, and that one message may contain
+MAX_OVERRIDES = 16  # maximum number of overrides that an instance stores, and of those in a message
 
 
 class OverrideMode(IntEnum):
--- a/cottonhold/fleet/zone_failover/zone_state.py
+++ b/cottonhold/fleet/zone_failover/zone_state.py
@@ -11,7 +11,7 @@
 
 
 class ZonePhase(Enum):
-    """Whether this instance sends traffic to a zone; the values are shown to operators."""
+    """The phase of a zone's service at this instance; the values are shown to operators."""
 
     IN_SERVICE = "in"
     EVACUATED = "out"
