--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -124,7 +124,7 @@
     ) -> None:
         """Begin a slow start after an outage that the membership survey found.
 
-        zones: the affected zones, None for all; since: time at which the first lost member was back.
+        `zones` are the affected zones, None for all; `since` is when the first lost member was back, in ms.
         """
         if self.slow_start is not None:
             engines = None if zones is None else [e for zone in zones for e in self.engines.get(zone, ())]
@@ -158,7 +158,7 @@
     def on_attempt_ended(
         self, now: float, attempt_id: str, succeeded: bool | None, elapsed_ms: float, work_ms: float = 0.0
     ) -> None:
-        """Record an attempt's end; succeeded is None if cancelled here, work_ms is 0 if not reported."""
+        """Record an attempt's end; `succeeded` is None if cancelled here, `work_ms` is 0 if not reported."""
         attempt = self.evidence.open_attempts.get(attempt_id)
         if attempt is not None and succeeded is not None:
             if self.slow_start is not None:
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -218,12 +218,12 @@
         return present
 
     def is_absent(self, engine: str) -> bool:
-        """Whether an engine is absent, by the reports of more than half of the live dispatchers."""
+        """Return whether an engine is absent, by the reports of more than half of the live dispatchers."""
         drained = self.drained.get(engine)
         return drained is not None and drained.is_absent
 
     def is_answering(self, engine: str) -> bool:
-        """Whether a drained engine is listed and has answered this instance's last liveness check."""
+        """Return whether a drained engine is listed and has answered this instance's last liveness check."""
         drained = self.drained.get(engine)
         return drained is not None and drained.last_check_answered and engine in self.listed
 
@@ -378,7 +378,7 @@
 
 
 def is_new_process(record: plan.MachineRecord | None) -> bool:
-    """Whether an engine that is no longer drained is regarded as a new process, which gets a slow start.
+    """Return whether an engine that is no longer drained is treated as a new process, with a slow start.
 
     Without a record, the replacement has ended and was removed from the plan; the engine is then regarded as
     a new process, because an unneeded slow start costs little.
--- a/cottonhold/fleet/engine_drain_messages.py
+++ b/cottonhold/fleet/engine_drain_messages.py
@@ -57,7 +57,7 @@
 
     @property
     def stamp(self) -> tuple[int, int]:
-        """Orders the reports of a member: the newer one has the higher stamp."""
+        """Incarnation and version; of two reports by a member the one with the higher stamp is newer."""
         return self.incarnation, self.version
 
 
@@ -78,17 +78,17 @@
     try:
         kind, member, incarnation, version, count = HEAD_FORMAT.unpack_from(data)
     except struct.error:
-        raise MessageError("truncated") from None
+        raise MessageError("truncated drain report") from None
     if (
         kind != DRAIN_REPORT
         or not member
         or count > MAX_ROWS
         or len(data) != HEAD_FORMAT.size + count * ROW_FORMAT.size
     ):
-        raise MessageError("drains")
+        raise MessageError("malformed drain report")
     rows = {}
     for number, serial, open_requests, flags in ROW_FORMAT.iter_unpack(data[HEAD_FORMAT.size :]):
         if flags > int(RowFlag.ABSENT):
-            raise MessageError("flags")
+            raise MessageError("unknown flags in a drain report")
         rows[number] = DrainedEngineRow(serial, open_requests, bool(flags & RowFlag.ABSENT))
     return DrainReport(member, incarnation, version, rows)
--- a/cottonhold/fleet/fleet_load.py
+++ b/cottonhold/fleet/fleet_load.py
@@ -17,7 +17,8 @@
         offered_load: Load of this instance, from the usual work of its requests.
         reporting: Reports of the other instances.
         declared_demand: Demand from the work that requests declare, or None. If given, it is used for the
-            shares of the load: after a restart an instance does not know the usual work of its requests.
+            shares of the load: after a restart an instance has not yet learned the usual work of its
+            requests.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
     def total_cores(self, now: float, live: Collection[int]) -> float:
         """Return the work offered to the whole fleet, in cores.
 
-        live: the other members; those without a report are assumed to have the mean load.
+        `live` are the other members; those without a report are assumed to have the mean load.
         """
         return _total(self._offered_cores(now), 1 + len(live))
 
--- a/cottonhold/fleet/latest_reports.py
+++ b/cottonhold/fleet/latest_reports.py
@@ -13,7 +13,7 @@
 
 from cottonhold.fleet.message_format import MAX_UINT32
 
-MAX_RELAYED_REPORTS = 16  # more than fit into one datagram
+MAX_RELAYED_REPORTS = 16  # maximum number of relayed reports; more than fit into one datagram
 
 Stamp = tuple[int, int]  # incarnation and version; a higher stamp marks a newer report of the same member
 
--- a/cottonhold/fleet/message_format.py
+++ b/cottonhold/fleet/message_format.py
@@ -56,7 +56,7 @@
             report, offset = decode_report(data, offset)
             reports.append(report)
     except struct.error:
-        raise MessageError("truncated") from None
+        raise MessageError("truncated list of reports") from None
     if offset != len(data):
         raise MessageError("bytes after the last report")
     return reports
