--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -295,7 +295,7 @@
 
 
 class StartupGate:
-    """Holds back loads after a start until the instance knows which engines are drained.
+    """Holds back loads after a start until the instance has read which engines are drained.
 
     If an engine was drained while the instance was down, the instance might otherwise send it a load just as
     it is powered off, and the outcome of the load would be unknown. Idempotent requests are not held back.
@@ -370,7 +370,8 @@
     def release_previous(self, drained: Collection[str]) -> list[str]:
         """Stop withholding engines drained before the start; return those that are not drained now.
 
-        Called once it is known which engines are drained, or once the instance must serve without knowing it.
+        Called once the registers show which engines are drained, or once the instance must serve without
+        them.
         """
         ended = sorted(self.from_previous_start.difference(drained))
         self.from_previous_start.clear()
--- a/cottonhold/fleet/failover_cost/cold_work.py
+++ b/cottonhold/fleet/failover_cost/cold_work.py
@@ -1,4 +1,4 @@
-"""How much work on cold data an allocation causes, and how long that lasts. Pure."""
+"""Estimates how much work on cold data an allocation causes, and for how long. Pure."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -1,9 +1,10 @@
 """Estimates what the loss of zones would cost, from the reports of all instances, and decides by it. Pure.
 
-Once a second the estimator takes a snapshot of the fleet, from which results are computed on request, once
-per snapshot (`snapshot_plan`). They decide how much of an evacuated zone's load to retain, which zones serve
-whose clients during an outage and first after a power loss, and what may be removed. A result stays until
-another is clearly better or its plan is too old; see docs/design/outlook.md.
+By default the estimator takes a snapshot of the fleet every second while capacity is missing, else every 3 s.
+Results are computed from it on request, once per snapshot (`snapshot_plan`). They decide how much of an
+evacuated zone's load to retain, which zones serve whose clients during an outage and first after a power
+loss, and which engines may be removed. A result stays until another is clearly better or its plan is too old.
+See docs/design/outlook.md.
 """
 
 from __future__ import annotations
@@ -47,8 +48,7 @@
     """One instance's estimator of the cost of failovers.
 
     It processes requests, answers and the reports of other instances; call `step` ten times a second.
-    `home_zone` is the zone of this instance and its clients; `seed` determines the random times and receivers
-    of reports.
+    `home_zone` is the zone of this instance and its clients; `seed` determines random times and receivers.
     """
 
     def __init__(
@@ -124,8 +124,8 @@
                 self.restored_reports[report.member] = replace(report, zones=zones)
 
     def report_to_save(self, now: float) -> bytes:
-        """Return what to pass to `restore` after a power loss; empty if it isn't due, or while there is no
-        demand: just after a restart it would replace a report that is still needed."""
+        """Return the message to pass to `restore` after a power loss; empty if no save is due, or while there
+        is no demand: just after a restart it would replace a saved report that is still needed."""
         if now < self.next_save or self.last_report is None or not self.last_report.rates:
             return b""
         self.next_save = now + self.settings.save_interval_ms
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -164,9 +164,9 @@
 ) -> Solution:
     """Return the best allocation, including the cold work that it causes itself.
 
-    Data sets evict one another only where much work is moved together. With the cold work of each home alone
-    the last zone would appear able to serve far more than it can. So the allocation is repeated with the cold
-    work of the one before, until that changes little.
+    Data sets evict one another only where much work is moved together. If each home's cold work were computed
+    by itself, the last remaining zone would appear able to serve far more than it can. So the allocation is
+    repeated with the cold work that the previous one causes, until the cold work changes little.
     """
     s, problem = settings, allocation_problem(snapshot, remaining, settings, success_shares)
     separate_factors, allocation = problem.cost_factors, allocate(problem, s.tolerance)
@@ -189,7 +189,7 @@
 ) -> dict[tuple[str, str], float]:
     """Return cost factors half way from the problem's to those of the cold work that these flows cause.
 
-    `separate_factors` are those of each home by itself.
+    `separate_factors` are the factors if the cold work of each home is computed by itself.
     """
     factors = dict(problem.cost_factors)
     for zone in snapshot.zones:
--- a/cottonhold/fleet/failover_cost/simplex.py
+++ b/cottonhold/fleet/failover_cost/simplex.py
@@ -36,7 +36,7 @@
 
     Attributes:
         gain: Utility per second at level 1.
-        usage: What it uses of each row at level 1.
+        usage: Amount that it uses of each row at level 1.
         home: The home; empty for other columns.
         assignments: The steps that each zone serves.
     """
--- a/cottonhold/fleet/failover_cost/site_observations.py
+++ b/cottonhold/fleet/failover_cost/site_observations.py
@@ -1,4 +1,4 @@
-"""What an instance observes of its site: its clients' demand, and the answers of zones. Pure."""
+"""One instance's observations of its site: its clients' demand, and the answers of zones. Pure."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 RECENT_MEMORY_MS = 700.0  # time constant of the recent demand
 DATA_SET_MEMORY_MS = 2000.0  # time constant of the use of data sets
-MEAN_DECAY = 0.999  # decay per request of the mean work of requests
+MEAN_DECAY = 0.999  # factor per request on the weights of earlier requests in the mean work
 ROUND_TRIP_GAIN = 0.1  # weight of a new round trip in the mean
 DEFAULT_WORK_MS = 20.0  # assumed mean work of a request before the first request
 MIN_DATA_SET_SHARE = 1e-3  # data sets with a smaller part of the demand are not reported
@@ -35,7 +35,7 @@
         self.memory_ms = memory_ms
         self.demand, self.recent_demand = Demand(now), Demand(now, RECENT_MEMORY_MS)
         self.data_set_use, self.answer_use = UsageWeights(DATA_SET_MEMORY_MS), UsageWeights(memory_ms)
-        self.request_work_ms, self.request_count = 0.0, 0.0  # both decayed
+        self.request_work_ms, self.request_count = 0.0, 0.0  # both decay by MEAN_DECAY per request
         self.excess_work, self.excess_known_since = UsageWeights(memory_ms), math.inf
         self.round_trips_ms: dict[str, float] = {}
 
@@ -56,13 +56,14 @@
             self.excess_known_since = min(self.excess_known_since, now)
 
     def record_round_trip(self, zone: str, round_trip_ms: float) -> None:
-        """Include a round trip to a zone in its mean."""
+        """Include a round trip to a zone in the mean of that zone."""
         mean_ms = self.round_trips_ms.get(zone, round_trip_ms)
         self.round_trips_ms[zone] = mean_ms * (1 - ROUND_TRIP_GAIN) + round_trip_ms * ROUND_TRIP_GAIN
 
     def offered_cores(self, now: float) -> float:
-        """Return the demand of this instance's clients, in cores. After clients have been moved here the
-        recent demand matters, since the longer mean contains only a part of them yet."""
+        """Return the demand of this instance's clients, in cores. It is the larger of the recent and the
+        longer mean: after clients have been moved here, the longer mean contains only a part of their demand
+        yet."""
         return max(math.fsum(count.rates(now).values()) for count in (self.demand, self.recent_demand))
 
     def report(
--- a/cottonhold/fleet/latest_reports.py
+++ b/cottonhold/fleet/latest_reports.py
@@ -54,7 +54,7 @@
         self.highest_received_stamp: Stamp = (0, 0)  # highest stamp that others sent in this member's name
 
     def apply(self, now: float, report: ReportT) -> bool:
-        """Merge a report that arrived at `now`, in ms; return whether it is newer than the known one."""
+        """Merge a report that arrived at `now`, in ms; return whether it is newer than the stored one."""
         if report.member == self.self_id:
             # A forged report, or one by an earlier incarnation whose wall clock was ahead, would otherwise
             # take precedence over this member's own reports for ever. `next_stamp` exceeds this stamp.
@@ -78,10 +78,10 @@
         return (incarnation + 1, 1) if incarnation < MAX_UINT32 else (incarnation, version)
 
     def newer_than(self, sender: int, reports: Iterable[ReportT]) -> ReportT | None:
-        """Return the known report of a sender that has just sent an older one of its own, else None.
+        """Return the stored report of a sender that has just sent an older one of its own, else None.
 
         This happens if incarnations are numbered by a wall clock that was set back between two starts. When
-        the known report is sent back to the sender, the sender continues with a higher stamp.
+        the stored report is sent back to the sender, the sender continues with a higher stamp.
         """
         known = self.received.get(sender)
         if known is None:
--- a/cottonhold/fleet/recovery/load_history_interface.py
+++ b/cottonhold/fleet/recovery/load_history_interface.py
@@ -73,7 +73,7 @@
     Attributes:
         request_id: The retry's request.
         load: The load that it repeats.
-        knowledge: What is known of the load now.
+        knowledge: The knowledge about the load now.
         retry_after_ms: Advised pause with NOT_KNOWN_YET, otherwise 0.
     """
 
--- a/cottonhold/fleet/recovery/load_queries.py
+++ b/cottonhold/fleet/recovery/load_queries.py
@@ -1,4 +1,4 @@
-"""The queries that one instance sends to others about loads, and the matching of answers to them. Pure."""
+"""The queries about loads that one instance sends to others, and the matching of answers to them. Pure."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -46,7 +46,7 @@
 
 
 class LoadKnowledge(IntEnum):
-    """What is known of a load that a client retries, and what follows for it.
+    """The knowledge about a load that a client retries, and what follows for the retry.
 
     NEVER_SENT      this instance must send it now (then call `on_sent`) or call `cancel`
     SUCCEEDED       it has succeeded
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -9,10 +9,10 @@
                  statement 1
     OPEN_LOADS   kind 1 | loads 1 | loads, each 16
 
-Numbers after the names are sizes in bytes. A peer's entry is what the sender knows of a dispatcher's number:
-the highest known boot count (also stored on disk), the incarnation of its last report, the uptime in that
-report, and the time since it arrived. The boot count is 0 if the sender has never received a report of the
-number. The receiver's own entry is the first, so each instance learns which of its reports have arrived.
+Numbers after the names are sizes in bytes. A peer's entry contains the sender's records of a dispatcher's
+number: the highest known boot count (also stored on disk), the incarnation of its last report, the uptime in
+that report, and the time since it arrived. The boot count is 0 if the sender has never received a report of
+the number. The receiver's own entry is the first, so each instance learns which of its reports have arrived.
 Entries can be merged in any order and repeatedly. Boot counts and incarnations have 32 bits; uptimes are
 capped at 49 days.
 """
@@ -66,7 +66,7 @@
 
     NEVER_SENT = 0  # it has not sent the load, and will query the others before it does
     ALSO_QUERIED = 1  # as NEVER_SENT, and a dispatcher other than the querying one has queried it too
-    NOT_KNOWN_YET = 2  # it doesn't know yet whether its memory is intact
+    NOT_KNOWN_YET = 2  # it has not yet determined whether its memory is intact
     UNKNOWN = 3  # it may have sent the load at a time of which it has no records
     SUCCEEDED = 4  # it sent the load, which succeeded
     MAY_HAVE_RUN = 5  # it sent the load or is about to
@@ -108,7 +108,7 @@
         uptime_ms: Time since its start.
         memory: State of its memory.
         was_clean_shutdown: Whether its last incarnation was shut down cleanly.
-        peers: What it knows of other dispatchers, the receiver first.
+        peers: Its records of other dispatchers, the receiver first.
     """
 
     number: int
--- a/cottonhold/fleet/recovery/peer_observations.py
+++ b/cottonhold/fleet/recovery/peer_observations.py
@@ -34,7 +34,8 @@
     """A peer's report on its last contact with a third dispatcher; times in ms of this instance's clock.
 
     Attributes:
-        last_contact_before: Upper bound of the time at which the peer last received a report of it.
+        last_contact_before: Upper bound of the time at which the peer last received a report from the
+            dispatcher.
         reported_after: Lower bound of the time at which the peer sent this information.
     """
 
@@ -44,7 +45,7 @@
 
 @dataclass(slots=True)
 class PeerObservation:
-    """What is known of another configured dispatcher; times in ms.
+    """One instance's observations of another configured dispatcher; times in ms.
 
     Attributes:
         number: The dispatcher's number.
@@ -59,7 +60,7 @@
         memory: The state of its memory, as last reported.
         received_at: When its last report arrived.
         acknowledged_sent_at: When this instance sent the newest of its reports that the peer has received.
-        view_of_self: What it last reported of this instance.
+        view_of_self: Its last report on this instance.
         silences: Its reports on dispatchers that it receives nothing from, by number.
     """
 
@@ -83,7 +84,7 @@
         """Merge a report; return whether it is newer than those before.
 
         A folder is recognized as stale by its checkpoint. Its boot count doesn't suffice: after enough starts
-        an old folder reaches a boot count that nobody knows, while its checkpoint stays.
+        an old folder reaches a boot count that no other instance has recorded, while its checkpoint stays.
         """
         incarnation = self._incarnation_of(now, presence)
         if incarnation is None:
@@ -128,8 +129,8 @@
         """Record what the peer reports of a third dispatcher; called after `on_view_of_self` for the same
         report.
 
-        A peer that has received nothing from it in its current incarnation may have received reports until
-        that incarnation began.
+        A peer whose current incarnation has received nothing from the third dispatcher may have received
+        reports until that incarnation began.
         """
         assert self.current is not None
         if state.age_ms is not None and state.age_ms <= max_report_age_ms:
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -1,9 +1,9 @@
 """Slow start of engines after a power loss or a restart, with the same limits at all instances. Pure.
 
-An engine that has just started, or may have, has a share: the part of its full capacity that all instances
-together may send to it. The share is 0 until the engine is listed or has answered; then it is what a cold
-engine can process. From there it grows with the results of the engine's answers at all instances, not with
-time. An engine that shows its full speed is warm and becomes free, that is, it is no longer limited. See
+An engine that has or may have just started has a share, which is the part of its full capacity that all
+instances together may send to it. The share is 0 until the engine is listed or has answered; then it is what
+a cold engine can process. From there it grows with the results of the engine's answers at all instances, not
+with time. An engine that shows its full speed is warm and becomes free, that is, it is no longer limited. See
 docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms as a warm
 engine would need.
 """
@@ -31,7 +31,7 @@
 )
 
 MAX_WARM_ENTRIES = 5  # maximum number of warm engines that others still limit, in a report of a large fleet
-MIN_WARMUP_LIMIT = 1e-9  # used instead of 0: the scheduler ignores limits if none allows any work
+MIN_WARMUP_LIMIT = 1e-9  # in ms per ms; not 0, because the scheduler ignores limits if none allows any work
 STEP_TOLERANCE_MS = 1.0  # time by which a timer may call `step` too early
 ROTATION_MULTIPLIER = 0x9E3779B1  # 2^32 / golden ratio: spreads successive versions over all engine numbers
 
@@ -64,7 +64,7 @@
         self.answering_since: dict[str, float] = {}  # since when each engine answers here without a fault
         self.is_listed = False  # whether a list of engines has been received since the start
         self.was_only_this_instance_away = False  # whether no other instance is known to have been away
-        self.reported_warming: set[int] = set()  # numbers of engines that others limit
+        self.reported_warming: set[int] = set()  # numbers of engines that other instances limit
         self.stepped_at = -math.inf
 
     def set_engines(self, now: float, engines: Mapping[str, float]) -> None:
--- a/cottonhold/fleet/recovery/silence_proof.py
+++ b/cottonhold/fleet/recovery/silence_proof.py
@@ -4,8 +4,11 @@
 they received a report that it sent less than `lease_ms` ago by its own clock. Another instance considers it
 silent when more than half report that they no longer receive its reports. Any half and any majority have a
 member in common, so the silent instance can't have used that member's confirmation for longer than `lease_ms`
-after the member last received a report. The time of that report has an upper bound: it was sent no longer
-before its arrival than the arrival came after the report that it answers.
+after the member last received a report.
+
+The instance that computes the proof bounds these times by its own clock. A member reports the age of its last
+contact, so the contact was no later than the arrival of the member's report minus this age. The member sent
+that report later than this instance sent the newest report that the member acknowledges.
 """
 
 from __future__ import annotations
@@ -20,7 +23,7 @@
 def prove_silence(
     reports: Iterable[SilenceReport], dispatchers: int, settings: SurveySettings
 ) -> ProvenSilence | None:
-    """Return what reports on one dispatcher prove; None if they prove nothing.
+    """Return the silence that reports on one dispatcher prove; None if they prove none.
 
     Args:
         reports: Reports of the others on the last contact with the dispatcher.
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -1,14 +1,14 @@
-"""What instances observe of engines that warm up: the wire format, and how observations are pooled. Pure.
+"""The wire format of observations of engines that warm up, and the pooling of these observations. Pure.
 
     kind 16 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | engines 1 | engines, each:
     engine 4 | speed 1 | work done 1 | share 1 | age 1
 
-Numbers after the names are sizes in bytes, except the kind. Speed is how fast successful answers were, work
-done is how much work they were, both within `WINDOW_MS` and as a part of what the engine does when warm. Both
+Numbers after the names are sizes in bytes, except the kind. Speed is the speed of successful answers and work
+done is their amount of work, both within `WINDOW_MS` and as a part of what the engine does when warm. Both
 are lower bounds of what it can do: an answer that waited in a queue looks slow, and the work done is limited
-by the work sent. So the larger of the two is used. Share is what the sender would let all instances together
-send to the engine; age is the time since the engine's start as the sender knows it. Reports are merged as
-described in `latest_reports`.
+by the work sent. So the larger of the two is used. Share is the part of the engine's capacity that, according
+to the sender, all instances together may send to it. Age is the time since the engine's start according to
+the sender. Reports are merged as described in `latest_reports`.
 """
 
 from __future__ import annotations
--- a/cottonhold/fleet/zone_failover/quota_lending.py
+++ b/cottonhold/fleet/zone_failover/quota_lending.py
@@ -268,7 +268,7 @@
     def _grant(self, now: float, loans: ZoneLoans, borrower: int, request: QuotaRequest) -> int:
         """Lend up to the requested amount and return the amount lent, in steps.
 
-        A loan that the borrower already has is replaced, so it counts as available.
+        A loan that the borrower already has is replaced, so its amount is available too.
         """
         if self.process_count > 1 or now < self.usable_from:
             return 0
