--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -297,7 +297,7 @@
         return [EngineBounds(bounds.work_rates, expires_at)]
 
     def _request_quota(self, now: float) -> list[Action]:
-        """Request quota of the limited budgets from members with less than the mean load."""
+        """Request quota of the limited budgets from members with less load than quota."""
         zones = [zone for zone in self.engines if self.evacuation.traffic_share(zone) < 1.0]
         budgets = [self.zone_numbers[zone] for zone in zones]
         if self.slow_start is not None and self.slow_start.is_growing:
@@ -357,7 +357,7 @@
         return self._send(self.reporting.messages(now, report, self.live, self.electorate.voters(now)))
 
     def _has_fault(self) -> bool:
-        """Return whether a zone is not in full service at any instance."""
+        """Return whether a zone is not in full service at any instance, or overrides differ."""
         if any(state.phase is not ZonePhase.IN_SERVICE for state in self.evacuation.states.values()):
             return True
         return any(map(self.reporting.is_urgent, self.reporting.fresh))
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -104,8 +104,9 @@
     def begin(self, now: float, load: bytes) -> bool:
         """Record that a load that isn't marked as a retry is about to be sent.
 
-        Returns False if it must be queried first as a retry: another dispatcher has queried it, so its client
-        may have given up here, and may run it elsewhere because of this instance's answer.
+        Returns False if there is no capacity to record it, or if it must be queried first as a retry because
+        it was queried already. Its client may then have given up here, and may run it elsewhere because of
+        this instance's answer.
         """
         if load in self.local.queried or load in self.granted:
             return False
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -3,9 +3,9 @@
 An engine that has or may have just started has a share, which is the part of its full capacity that all
 instances together may send to it. The share is 0 until the engine is listed or has answered; then it is what
 a cold engine can process. From there it grows with the results of the engine's answers at all instances, not
-with time. An engine that shows its full speed is warm and becomes free, that is, it is no longer limited. See
-docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms as a warm
-engine would need.
+with time alone. An engine that shows its full speed is warm and becomes free, that is, it is no longer
+limited. See docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms
+as a warm engine would need.
 """
 
 from __future__ import annotations
@@ -106,7 +106,7 @@
 
         Args:
             now: The current time.
-            scope: What was away.
+            scope: Which instances were away.
             engines: Engines of the lost zones; None for all.
             since: When the first of the lost instances was back.
         """
@@ -311,8 +311,8 @@
         reported: list[EngineObservation],
         extrapolation_factor: float,
     ) -> None:
-        """Update an engine's share, and free it if it is warm by the observations of this or most
-        instances."""
+        """Update an engine's share, and free it if it is warm by the observations of this or most instances,
+        or after `max_duration_ms`."""
         warming.adopt_age(now, reported)
         local_observation = warming.observation = warming.observe(now)
         is_overdue = now - warming.started_at > self.settings.max_duration_ms
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -1,11 +1,13 @@
 """Decide which zones to evacuate and how much traffic a returning zone gets; does no I/O.
 
-Each instance keeps a state for each zone and reports it to the others as a vote. An instance evacuates a zone
-in one of three cases:
+Each instance keeps a state for each zone and reports it to the others as a vote. Unless an operator's
+override decides, an instance evacuates a zone in one of these cases:
 
 - its own evidence shows that the zone is unhealthy; this needs no agreement from others
-- more than a third of the electorate are certain, and its own attempts do not show a healthy zone
+- more than a third of the electorate are certain, or more than half suspect a failure, and the instance's own
+  attempts do not show a healthy zone
 - more than half of the electorate vote for the evacuation
+- the zone is returning, and the attempts of all instances there show that the return has failed
 
 The fleet's evacuation of a zone begins when more than half of the electorate vote for it and ends when more
 than half vote against it; then the return may start. See docs/design/zones.md.
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -25,7 +25,7 @@
 MIN_DURATIONS = 4  # durations needed to compare a zone with others
 # Factor on the outlier threshold while another zone is evacuated, because the other zones carry its load.
 LOADED_FACTOR = 1.5
-SLOW_CONFIRMATIONS = 3  # value of outlier_count from which a zone without failed attempts is slow
+SLOW_CONFIRMATIONS = 3  # outlier_count from which a zone is slow if less than half of its bad attempts failed
 MIN_SUSPECT_ATTEMPTS = 3  # bad attempts in the window needed to report a suspected failure
 MIN_SUSPECT_SHARE = 0.2  # share of bad attempts in the window needed to report a suspected failure
 SCORE_TOLERANCE = 1e-9  # rounding error of a score that equals the threshold
--- a/cottonhold/fleet/zone_failover/usual_duration.py
+++ b/cottonhold/fleet/zone_failover/usual_duration.py
@@ -34,7 +34,8 @@
         return self.count >= MIN_ANSWERS
 
     def update(self, now: float, elapsed_ms: float, learning_time_ms: float) -> None:
-        """Add the duration of a good answer; learning_time_ms is the time constant of the moving average."""
+        """Add the duration of a served attempt that was not slow; learning_time_ms is the mean's time
+        constant."""
         self.count += 1
         gain = 1 - math.exp((self.updated_at - now) / learning_time_ms)
         gain = max(gain, 1 / self.count if self.count < PLAIN_MEAN_ANSWERS else 0.0)
--- a/cottonhold/fleet/zone_failover/zone_assessment.py
+++ b/cottonhold/fleet/zone_failover/zone_assessment.py
@@ -121,7 +121,8 @@
         return min(max((offered_cores - usable) / sum(self.engines[zone].values()), 0.0), 1.0)
 
     def _engines_answer(self, now: float, zone: str, evacuated_at: float) -> bool:
-        """Return whether half of a zone's engines have passed a recent health check since its evacuation."""
+        """Return whether at least half of a zone's engines have passed a recent health check since its
+        evacuation; always True if health checks are not shared."""
         if not self.settings.checks_are_shared:
             return True
         engines = self.engines[zone]
