--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -124,7 +124,7 @@
     ) -> None:
         """Begin a slow start after an outage that the membership survey found.
 
-        zones: the affected zones, None for all; since: time at which the first lost member was back.
+        `zones` are the affected zones, None for all; `since` is when the first lost member was back, in ms.
         """
         if self.slow_start is not None:
             engines = None if zones is None else [e for zone in zones for e in self.engines.get(zone, ())]
@@ -158,7 +158,7 @@
     def on_attempt_ended(
         self, now: float, attempt_id: str, succeeded: bool | None, elapsed_ms: float, work_ms: float = 0.0
     ) -> None:
-        """Record an attempt's end; succeeded is None if cancelled here, work_ms is 0 if not reported."""
+        """Record an attempt's end; `succeeded` is None if cancelled here, `work_ms` is 0 if not reported."""
         attempt = self.evidence.open_attempts.get(attempt_id)
         if attempt is not None and succeeded is not None:
             if self.slow_start is not None:
@@ -297,7 +297,7 @@
         return [EngineBounds(bounds.work_rates, expires_at)]
 
     def _request_quota(self, now: float) -> list[Action]:
-        """Request quota of the limited budgets from members with less than the mean load."""
+        """Request quota of the limited budgets from members with less load than quota."""
         zones = [zone for zone in self.engines if self.evacuation.traffic_share(zone) < 1.0]
         budgets = [self.zone_numbers[zone] for zone in zones]
         if self.slow_start is not None and self.slow_start.is_growing:
@@ -357,7 +357,7 @@
         return self._send(self.reporting.messages(now, report, self.live, self.electorate.voters(now)))
 
     def _has_fault(self) -> bool:
-        """Return whether a zone is not in full service at any instance."""
+        """Return whether a zone is not in full service at any instance, or overrides differ."""
         if any(state.phase is not ZonePhase.IN_SERVICE for state in self.evacuation.states.values()):
             return True
         return any(map(self.reporting.is_urgent, self.reporting.fresh))
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -218,12 +218,12 @@
         return present
 
     def is_absent(self, engine: str) -> bool:
-        """Whether an engine is absent, by the reports of more than half of the live dispatchers."""
+        """Return whether an engine is absent, by the reports of more than half of the live dispatchers."""
         drained = self.drained.get(engine)
         return drained is not None and drained.is_absent
 
     def is_answering(self, engine: str) -> bool:
-        """Whether a drained engine is listed and has answered this instance's last liveness check."""
+        """Return whether a drained engine is listed and has answered this instance's last liveness check."""
         drained = self.drained.get(engine)
         return drained is not None and drained.last_check_answered and engine in self.listed
 
@@ -295,7 +295,7 @@
 
 
 class StartupGate:
-    """Holds back loads after a start until the instance knows which engines are drained.
+    """Holds back loads after a start until the instance has read which engines are drained.
 
     If an engine was drained while the instance was down, the instance might otherwise send it a load just as
     it is powered off, and the outcome of the load would be unknown. Idempotent requests are not held back.
@@ -370,7 +370,8 @@
     def release_previous(self, drained: Collection[str]) -> list[str]:
         """Stop withholding engines drained before the start; return those that are not drained now.
 
-        Called once it is known which engines are drained, or once the instance must serve without knowing it.
+        Called once the registers show which engines are drained, or once the instance must serve without
+        them.
         """
         ended = sorted(self.from_previous_start.difference(drained))
         self.from_previous_start.clear()
@@ -378,7 +379,7 @@
 
 
 def is_new_process(record: plan.MachineRecord | None) -> bool:
-    """Whether an engine that is no longer drained is regarded as a new process, which gets a slow start.
+    """Return whether an engine that is no longer drained is treated as a new process, with a slow start.
 
     Without a record, the replacement has ended and was removed from the plan; the engine is then regarded as
     a new process, because an unneeded slow start costs little.
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -9,10 +9,10 @@
                  statement 1
     OPEN_LOADS   kind 1 | loads 1 | loads, each 16
 
-Numbers after the names are sizes in bytes. A peer's entry is what the sender knows of a dispatcher's number:
-the highest known boot count (also stored on disk), the incarnation of its last report, the uptime in that
-report, and the time since it arrived. The boot count is 0 if the sender has never received a report of the
-number. The receiver's own entry is the first, so each instance learns which of its reports have arrived.
+Numbers after the names are sizes in bytes. A peer's entry contains the sender's records of a dispatcher's
+number: the highest known boot count (also stored on disk), the incarnation of its last report, the uptime in
+that report, and the time since it arrived. The boot count is 0 if the sender has never received a report of
+the number. The receiver's own entry is the first, so each instance learns which of its reports have arrived.
 Entries can be merged in any order and repeatedly. Boot counts and incarnations have 32 bits; uptimes are
 capped at 49 days.
 """
@@ -54,7 +54,7 @@
 
 
 class MemoryState(IntEnum):
-    """What an instance still knows of the time before its start."""
+    """The completeness of an instance's records of the time before its start."""
 
     EMPTY = 0  # the folder was empty, so what the instance sent before is unknown
     INTACT = 1  # the folder is complete up to the power loss
@@ -62,11 +62,11 @@
 
 
 class LoadStatement(IntEnum):
-    """What one instance answers to a query about a load; of several answers the highest counts most."""
+    """One instance's answer to a query about a load; of several, SUCCEEDED and then MAY_HAVE_RUN decide."""
 
     NEVER_SENT = 0  # it has not sent the load, and will query the others before it does
     ALSO_QUERIED = 1  # as NEVER_SENT, and a dispatcher other than the querying one has queried it too
-    NOT_KNOWN_YET = 2  # it doesn't know yet whether its memory is intact
+    NOT_KNOWN_YET = 2  # it has not yet determined whether its memory is intact
     UNKNOWN = 3  # it may have sent the load at a time of which it has no records
     SUCCEEDED = 4  # it sent the load, which succeeded
     MAY_HAVE_RUN = 5  # it sent the load or is about to
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerState:
-    """What the sender of a report knows of a dispatcher.
+    """What the sender of a report has recorded of a dispatcher.
 
     Attributes:
         number: The dispatcher's number.
@@ -108,7 +108,7 @@
         uptime_ms: Time since its start.
         memory: State of its memory.
         was_clean_shutdown: Whether its last incarnation was shut down cleanly.
-        peers: What it knows of other dispatchers, the receiver first.
+        peers: Its records of other dispatchers, the receiver first.
     """
 
     number: int
@@ -123,8 +123,8 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadQuery:
-    """Asks what the receiver knows of loads; `boot_count` is the sender's, and `serial` is unique in that
-    boot."""
+    """A query for the receiver's records of loads; `boot_count` is the sender's, and `serial` is unique in
+    that boot."""
 
     boot_count: int
     serial: int
@@ -150,7 +150,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenLoads:
-    """Loads that earlier boots of the sender sent, and whose end it does not know."""
+    """Loads that earlier boots of the sender sent, and whose result it does not know."""
 
     loads: tuple[bytes, ...]
 
@@ -206,7 +206,7 @@
     """Return the message that these bytes encode.
 
     Raises:
-        MessageError: The bytes are no valid message of recovery; then nothing of it may be applied.
+        MessageError: The bytes are no valid message of recovery; then no part of it may be applied.
     """
     try:
         if data[:1] == bytes((PRESENCE,)):
@@ -219,8 +219,8 @@
         if kind == LOAD_ANSWER:
             return LoadAnswer(boot_count, serial, _decode_verdicts(data, count))
     except (struct.error, IndexError):
-        raise MessageError("truncated") from None
-    raise MessageError("not a recovery message")
+        raise MessageError("truncated recovery message") from None
+    raise MessageError("unknown kind of recovery message")
 
 
 def _decode_presence(data: bytes) -> Presence:
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -1,14 +1,14 @@
-"""What instances observe of engines that warm up: the wire format, and how observations are pooled. Pure.
+"""The wire format of observations of engines that warm up, and the pooling of these observations. Pure.
 
     kind 16 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | engines 1 | engines, each:
     engine 4 | speed 1 | work done 1 | share 1 | age 1
 
-Numbers after the names are sizes in bytes, except the kind. Speed is how fast successful answers were, work
-done is how much work they were, both within `WINDOW_MS` and as a part of what the engine does when warm. Both
+Numbers after the names are sizes in bytes, except the kind. Speed is the speed of successful answers and work
+done is their amount of work, both within `WINDOW_MS` and as a part of what the engine does when warm. Both
 are lower bounds of what it can do: an answer that waited in a queue looks slow, and the work done is limited
-by the work sent. So the larger of the two is used. Share is what the sender would let all instances together
-send to the engine; age is the time since the engine's start as the sender knows it. Reports are merged as
-described in `latest_reports`.
+by the work sent. So the larger of the two is used. Share is the part of the engine's capacity that, according
+to the sender, all instances together may send to it. Age is the time since the engine's start according to
+the sender. Reports are merged as described in `latest_reports`.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 WARMUP_REPORTS = 16  # the kind of message
 HEADER = struct.Struct("!QIIB")
 ENTRY = struct.Struct("!IBBBB")
-MAX_ENGINES = (MAX_MESSAGE_BYTES - LIST_HEADER_BYTES - HEADER.size) // ENTRY.size  # per report
+MAX_ENGINES = (MAX_MESSAGE_BYTES - LIST_HEADER_BYTES - HEADER.size) // ENTRY.size  # in one report
 MAX_BYTE = 255
 SHARE_STEPS = 255
-SPEED_STEPS = 170.0  # steps of a speed of one, so that 1.5 can be encoded
+SPEED_STEPS = 170.0  # encoded value of a speed of one; 1.5 can be encoded too
 WORK_STEPS = 1000.0  # scale of the work done; its square root is encoded, for resolution at small values
 ROOT_STEPS = 5
 AGE_STEP_MS = 100.0
 WINDOW_MS = 600.0  # time that an observation covers
-UNLIMITED_SHARE = 1.0  # a share that limits nothing
+UNLIMITED_SHARE = 1.0  # share of an engine without a limit
 SHARE_QUORUM = 3  # observations that are needed to agree on a share
 CLAIM_FACTOR = 3  # the work done of one instance is capped at this many times the median
 
@@ -149,8 +149,8 @@
 ) -> PooledObservation:
     """Pool the observations of one engine.
 
-    No instance may claim far more work than the median, nor may its speed alone count: a faulty one must not
-    raise the share for all.
+    No instance may claim far more work than the median, and of three or more reported speeds the highest is
+    ignored, because a faulty instance must not raise the share for all.
 
     Args:
         observations: The observations, one of each reporting instance.
