--- a/cottonhold/fleet/consensus/acceptor.py
+++ b/cottonhold/fleet/consensus/acceptor.py
@@ -25,7 +25,7 @@
 from cottonhold.fleet.consensus.voter_recovery import RecoveryResult, VoterRecovery
 from cottonhold.fleet.message_format import MessageError
 
-VOTER_RECORD, REGISTER_RECORD_PREFIX = "voter", "reg/"  # names of records
+VOTER_RECORD, REGISTER_RECORD_PREFIX = "voter", "reg/"  # name of a record; prefix of record names
 MAX_PROPOSER_ID = 2**64 - 1
 VOTER_RECORD_FORMAT = struct.Struct("!Q?I")  # folder id, is_voting, ballot floor
 
@@ -44,7 +44,7 @@
 
 
 def decode_register(data: bytes) -> VoterRegister:
-    """Decode a register's record. Raises MessageError."""
+    """Decode a register's record. Raises MessageError if it is malformed."""
     reader = messages.MessageReader(data)
     register = VoterRegister(reader.read_ballot(), reader.read_state())
     reader.expect_end()
@@ -53,14 +53,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ServedCopy:
-    """A copy of this voter's registers for a recovering voter, and the round of its requests."""
+    """A copy of this voter's registers for a recovering voter, and the round of that voter's requests."""
 
     round: int
     registers: list[tuple[str, VoterRegister]]
 
 
 class Acceptor:
-    """One voter.
+    """One voter: its registers, its promises and its recovery from an empty state folder.
 
     Args:
         member: The id of this member, which must be one of `voters`.
@@ -89,12 +89,12 @@
         self.index = self.voters.index(member)
         self.is_voting = False
         self.ballot_floor = 0  # highest ballot number refused for registers not held here
-        self.epochs = [0] * len(self.voters)  # how often each voter has recovered
+        self.epochs = [0] * len(self.voters)  # number of recoveries of each voter
         self.recovered_folder_ids = [0] * len(self.voters)  # state folder to which each epoch belongs
         self.founding_folder_ids = [0] * len(self.voters)
         self.registers: dict[str, VoterRegister] = {}
         self.last_token = 0
-        self.folder_id_durable = False  # until it is, the folder id is not sent to other voters
+        self.folder_id_durable = False  # whether the folder id is on disk and may be sent
         self.answers_by_token: dict[int, list[SendConsensusMessage]] = {}  # answers that wait for a write
         self.pending_writes: dict[str, int] = {}  # by record name: token of its last unfinished write
         self.removals_by_token: dict[int, list[str]] = {}  # registers to remove once the floor is on disk
@@ -209,7 +209,7 @@
             self._remove_register(message.name)
 
     def _has_capacity(self, name: str) -> bool:
-        """Whether this voter can hold the register.
+        """Return whether this voter can hold the register.
 
         If necessary, registers without an accepted state are removed; the ballot floor preserves their
         promises.
@@ -381,7 +381,7 @@
         epochs = list(reader.read_counted_bytes(messages.MAX_VOTERS))
         # Epochs are stored by position, so they cannot be assigned if the list of voters was changed.
         if len(epochs) != len(self.voters):
-            raise MessageError("voters have changed")
+            raise MessageError("number of voters has changed")
         self.recovery.folder_id = folder_id
         self.is_voting = bool(is_voting)
         self.epochs = epochs
--- a/cottonhold/fleet/consensus/messages.py
+++ b/cottonhold/fleet/consensus/messages.py
@@ -97,8 +97,8 @@
         round: Number of the round that is answered.
         is_voting: Whether the sender votes.
         epochs: Number of recoveries of each voter, as recorded by the sender.
-        founding_folder_ids: State folder of each voter when the fleet was new; 0 if the sender does not know
-            it.
+        founding_folder_ids: State folder of each voter when the fleet was new; 0 if unknown to the
+            sender.
     """
 
     folder_id: int
@@ -145,7 +145,7 @@
         try:
             fields = struct_format.unpack_from(self.data, self.position)
         except struct.error:
-            raise MessageError("truncated") from None
+            raise MessageError("truncated consensus message or record") from None
         self.position += struct_format.size
         return fields
 
@@ -154,7 +154,7 @@
         (size,) = self.read_struct(BYTE_FORMAT)
         content = self.data[self.position : self.position + size]
         if size > max_bytes or len(content) != size:
-            raise MessageError("length")
+            raise MessageError("counted bytes too long or truncated")
         self.position += size
         return content
 
@@ -163,13 +163,13 @@
         try:
             return self.read_counted_bytes(MAX_NAME_BYTES).decode()
         except UnicodeDecodeError:
-            raise MessageError("name") from None
+            raise MessageError("register name is not UTF-8") from None
 
     def read_ballot(self) -> Ballot:
         """Read a ballot."""
         number, proposer_id = self.read_struct(BALLOT_FORMAT)
         if number > MAX_BALLOT_NUMBER:
-            raise MessageError("ballot")
+            raise MessageError("ballot number out of range")
         return Ballot(number, proposer_id)
 
     def read_state(self) -> AcceptedState:
@@ -182,13 +182,13 @@
         """Read a count of state folder ids and the ids that follow it."""
         (count,) = self.read_struct(BYTE_FORMAT)
         if count > MAX_VOTERS:
-            raise MessageError("voters")
+            raise MessageError("too many voters")
         return tuple(self.read_struct(UINT64_FORMAT)[0] for _ in range(count))
 
     def expect_end(self) -> None:
         """Check that all bytes have been read."""
         if self.position != len(self.data):
-            raise MessageError("too long")
+            raise MessageError("bytes after the last field")
 
 
 def encode_message(message: RegisterMessage) -> bytes:
@@ -208,7 +208,7 @@
 def decode_message(data: bytes) -> RegisterMessage:
     """Decode a message about a register. Raises MessageError."""
     if not data or not PREPARE <= data[0] <= FORGET:
-        raise MessageError("kind")
+        raise MessageError("unknown kind of register message")
     reader = MessageReader(data, 1)
     kind, name, ballot = data[0], reader.read_name(), reader.read_ballot()
     state, epochs = AcceptedState(), b""
@@ -220,7 +220,7 @@
         epochs = reader.read_counted_bytes(MAX_VOTERS)
     reader.expect_end()
     if not name:
-        raise MessageError("no name")
+        raise MessageError("register message without a name")
     return RegisterMessage(kind, name, ballot, state, tuple(epochs))
 
 
--- a/cottonhold/fleet/consensus/proposer.py
+++ b/cottonhold/fleet/consensus/proposer.py
@@ -20,8 +20,9 @@
 from cottonhold.fleet.consensus.settings import RegisterSettings
 
 MAX_ANNOUNCEMENT_DOUBLINGS = 6
-# Both as multiples of the operation timeout. A finished register is removed from the voters only after every
-# change of it has timed out, even with clocks that run at different rates.
+# Time after the last change of a finished register until it is removed from the voters, and until the removal
+# is given up, as multiples of the operation timeout. The register is removed only after every change of it
+# has timed out, even with clocks that run at different rates.
 REMOVAL_DELAY_OPERATION_TIMEOUTS = 1.25
 GIVE_UP_REMOVAL_OPERATION_TIMEOUTS = 3
 
@@ -57,7 +58,7 @@
 
 
 class Proposer:
-    """The changes and reads of registers by one member. Times are in ms of the local clock.
+    """Runs the changes and reads of registers that one member proposes. Times are in ms of the local clock.
 
     Args:
         member: The id of this member.
@@ -85,7 +86,7 @@
         self.change_count = 0
         self.in_progress: dict[str, PendingChange] = {}
         self.queue: deque[PendingChange] = deque()
-        self.chosen_states: dict[str, AcceptedState] = {}  # the newest one received, by register
+        self.chosen_states: dict[str, AcceptedState] = {}  # newest state received, by register
         self.announcements: dict[str, Announcement] = {}
         self.listeners: set[int] = set()
         self.actions: list[Action] = []
@@ -116,7 +117,7 @@
             self._finish_operation(now, pending, result, None)
         queued = self.queue
         self.queue = deque()
-        for pending in queued:  # one operation per register at a time, in order of arrival
+        for pending in queued:  # starts one operation per register, in order of arrival
             if pending.name in self.in_progress:
                 self.queue.append(pending)
             else:
--- a/cottonhold/fleet/consensus/register.py
+++ b/cottonhold/fleet/consensus/register.py
@@ -39,7 +39,7 @@
 
 
 class UnsettledState(NamedTuple):
-    """A register at this voter that will be read again: the accepted ballot, whether chosen, and when."""
+    """A register that this voter will read again: accepted ballot, whether it is chosen, time of the read."""
 
     ballot: Ballot
     is_chosen: bool
@@ -158,7 +158,7 @@
         self.proposer.listeners = set(live_members) - {self.member}
 
     def is_voting(self) -> bool:
-        """Whether this member is a voter whose memory is complete."""
+        """Return whether this member is a voter whose memory is complete."""
         return self.acceptor is not None and self.acceptor.is_voting
 
     def last_known(self, name: str) -> tuple[int, bytes]:
@@ -179,7 +179,7 @@
             if kind in (messages.PROMISE, messages.ACCEPTED, messages.REFUSED, messages.CHOSEN):
                 self.proposer.on_message(now, sender, messages.decode_message(payload))
             elif not messages.PREPARE <= kind <= messages.REGISTER_PAGE:
-                raise MessageError("kind")
+                raise MessageError("unknown kind of consensus message")
             elif self.acceptor is not None:
                 self.acceptor.on_message(sender, payload)
         except MessageError:
--- a/cottonhold/fleet/consensus/register_cache.py
+++ b/cottonhold/fleet/consensus/register_cache.py
@@ -13,7 +13,7 @@
 
 from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
 
-READ_TIMEOUT_MS = 1000.0  # shorter than the timeout of a change, because a read may be repeated safely
+READ_TIMEOUT_MS = 1000.0  # shorter than a change's timeout, because a read may be repeated safely
 UNKNOWN_VERSION = -1
 
 
@@ -68,7 +68,7 @@
         return register if register is not None and register.version >= 0 else None
 
     def can_send(self, now: float, name: str) -> bool:
-        """Whether no operation on the register is pending, or the pending one has timed out."""
+        """Return whether no operation on the register is pending, or the pending one has timed out."""
         register = self.register(name)
         timeout_ms = self.operation_timeout_ms
         if not register.change_pending:
@@ -132,7 +132,7 @@
         self._update(now, self.register(name), version, value, -math.inf)
 
     def is_confirmed(self, now: float, name: str, max_age_ms: float) -> bool:
-        """Whether the cached value was the register's value at some time within the last `max_age_ms`."""
+        """Return whether the register had the cached value at some time within the last `max_age_ms`."""
         register = self.registers.get(name)
         return register is not None and now - register.confirmed_at <= max_age_ms
 
@@ -142,7 +142,7 @@
         """Store a version, unless a newer one was received after the request.
 
         A lower version is valid only if the register was finished and removed, so that its versions start
-        again. Then it was requested after the higher version was received.
+        again. In that case it was requested after the higher version had been received.
         """
         if version < register.version and requested_at < register.version_received_at:
             return
--- a/cottonhold/fleet/consensus/voter_recovery.py
+++ b/cottonhold/fleet/consensus/voter_recovery.py
@@ -44,7 +44,7 @@
     pages: dict[int, RegisterPage] = field(default_factory=dict)
 
     def is_complete(self) -> bool:
-        """Whether all pages have arrived."""
+        """Return whether all pages have arrived."""
         return 0 in self.pages and len(self.pages) >= max(self.pages[0].page_count, 1)
 
     def first_missing_page(self) -> int | None:
@@ -62,7 +62,7 @@
 
 
 class VoterRecovery:
-    """The requests of a recovering voter and the received answers.
+    """Sends the requests of a recovering voter and collects the answers.
 
     Args:
         member: The id of this member.
@@ -80,7 +80,7 @@
         self.round = folder_id & 0x7FFFFFFF
         self.epoch = 0  # the epoch of this recovery
         self.hello_replies: dict[int, HelloReply] = {}
-        self.previous_new_folders: dict[int, int] = {}  # previous round: folders of voters not voting
+        self.previous_new_folders: dict[int, int] = {}  # previous round's folder ids, if no voter was voting
         self.copies: dict[int, RegisterCopy] = {}
         self.pages_at_last_request = 0
         self.messages: list[SendConsensusMessage] = []
--- a/cottonhold/fleet/request_forwarding/forwarder.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -108,8 +108,9 @@
     ) -> list[Action]:
         """Send the gateway's result of a request from a RequestAccepted to its origin.
 
-        REJECTED, NOT_OWNER and NOT_ACCEPTED guarantee that nothing ran. If the data exceeds MAX_BODY_BYTES,
-        or with the other unacknowledged answers to the origin max_answer_bytes, the result becomes FAILED.
+        REJECTED, NOT_OWNER and NOT_ACCEPTED guarantee that nothing ran. The result becomes FAILED if the
+        data exceeds MAX_BODY_BYTES, or if all unacknowledged answers to the origin, with this one, exceed
+        max_answer_bytes.
         """
         self.owner.on_request_ended(now, origin, number, result, retry_after_ms, data)
         return self._pop_actions()
--- a/cottonhold/fleet/request_forwarding/fragmentation.py
+++ b/cottonhold/fleet/request_forwarding/fragmentation.py
@@ -3,8 +3,8 @@
 A `SendWindow` sends the bodies for one other member in the order of their numbers. To avoid flooding the
 member, at most `max_in_flight` fragments of all bodies are in flight at the same time. A fragment whose retry
 time has passed is no longer in flight and is sent again before later fragments. Acknowledgements grow the
-window up to `max_in_flight`. Silence halves it, so that most requests for a failed member are not fully sent
-and can still be sent elsewhere.
+window up to `max_in_flight`. A period without acknowledgements halves it, so that most requests for a failed
+member are not fully sent and can still be sent elsewhere.
 """
 
 from __future__ import annotations
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -188,7 +188,7 @@
 ANSWER_ACK_FORMAT = struct.Struct("!BBQB")
 REQUEST_FRAGMENT_BYTES = MAX_MESSAGE_BYTES - HEADER_FORMAT.size - FRAGMENT_FORMAT.size
 ANSWER_FRAGMENT_BYTES = MAX_MESSAGE_BYTES - ANSWER_FRAGMENT_FORMAT.size
-MAX_BITS_BYTES = 16  # enough for one bit for each fragment of a body of MAX_BODY_BYTES
+MAX_BITS_BYTES = 16  # one bit for each fragment of a body of MAX_BODY_BYTES
 
 
 def request_number(incarnation: int, count: int) -> int:
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -81,7 +81,7 @@
     def forward(
         self, now: float, request_id: str, owner_id: int, body: bytes, deadline: float, queue_key: bytes
     ) -> None:
-        """Forward a client's request, see `RequestForwarder.forward`."""
+        """Forward a client's request; `RequestForwarder.forward` describes the arguments."""
         if request_id in self.requests_by_id or owner_id == self.member:
             raise ValueError(request_id)
         deadline = min(deadline, now + self.settings.max_timeout_ms)
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -135,7 +135,7 @@
         self._set_trouble(now, self.view.zone_troubles, zone, trouble and f"zone {zone}: {trouble}")
 
     def set_fleet_trouble(self, now: float, what: str, trouble: str) -> None:
-        """Set why no machine may be taken out because of a condition of the fleet.
+        """Set a condition of the fleet because of which no machine may be taken out.
 
         Args:
             now: The current time.
@@ -242,7 +242,7 @@
             if progress.step is not record.step:
                 actions.append(LogStep(name, record.step, ""))
                 progress.step, progress.step_seen_at = record.step, now
-                # In DRAINING the entry in the membership table counts too, so a count from MOVING is invalid.
+                # In DRAINING the number includes the entry in the membership table; one from MOVING does not.
                 self.view.remaining_keys.pop(name, None)
                 if record.step is ReplacementStep.MOVING:
                     progress.moving_since = now
@@ -308,14 +308,14 @@
         return actions
 
     def _must_not_serve(self, record: MachineRecord) -> bool:
-        """Whether this machine must not accept clients: it is draining, or out and not restarted since."""
+        """Return whether this machine must reject clients: it is draining, or out and not restarted since."""
         if record.step is ReplacementStep.DRAINING:
             return True
         is_same_incarnation = self._local_incarnation() == record.incarnation
         return record.step is ReplacementStep.OUT and is_same_incarnation
 
     def _is_withheld(self, name: str, record: MachineRecord) -> bool:
-        """Whether an engine must not get new requests.
+        """Return whether an engine must not get new requests.
 
         That holds from DRAINING until an engine with its name is in place, or permanently if its replacement
         has another name.
@@ -327,7 +327,7 @@
         return is_after and is_replaced
 
     def has_read_all(self) -> bool:
-        """Whether all records were read from a majority since the start or the last `on_pause`."""
+        """Return whether all records were read from a majority since the start or the last `on_pause`."""
         if not self.all_read and self.view.is_complete:
             names = [
                 PLAN_REGISTER,
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -137,7 +137,7 @@
         return [m for m in self.machines.values() if not m.is_engine]
 
     def is_outdated(self, name: str, record: MachineRecord) -> bool:
-        """Whether the record is older than the plan: it is in progress, but not active in the plan."""
+        """Return whether the record is older than the plan: it is in progress, but not active in the plan."""
         return (
             not record.is_over
             and record.step not in plan.WAITING_STEPS
@@ -159,7 +159,7 @@
         self.start_conditions = StartConditions(settings.voters, settings.default_duration_ms, capacity_check)
         self.progress: dict[str, LocalProgress] = {}
         self.keys_by_target: dict[str, int] = {}  # number of keys moved to each target
-        self.abort_deadlines: dict[str, float] = {}  # by machine: when a requested abort is given up
+        self.abort_deadlines: dict[str, float] = {}  # by machine: time at which a requested abort is given up
 
     def step(self, now: float, name: str, record: MachineRecord) -> list[Action]:
         """Return the actions that abort, drive or take over a machine's replacement."""
@@ -189,7 +189,7 @@
             return []
         if progress.driver_needed_since is None:
             progress.driver_needed_since = now
-        # If the record names this instance, its previous incarnation was the driver: no other takes over.
+        # If the record names this instance, its previous incarnation was the driver; no other takes over.
         rank = 0 if record.driver == self.view.local_id else self._takeover_position(name, record)
         if rank is None or now - progress.driver_needed_since < rank * self.settings.takeover_stagger_ms:
             return []
@@ -200,7 +200,7 @@
         )
 
     def _needs_new_driver(self, now: float, name: str, record: MachineRecord, cached: CachedRegister) -> bool:
-        """Whether a new driver is needed: the current one is absent, stalled, or must not drive this step."""
+        """Return whether the driver must be replaced: it is absent, stalled, or must not drive this step."""
         if record.driver == self.view.local_id:
             return record.step <= ReplacementStep.DRAINING or name != self.view.local_machine
         if (
@@ -208,7 +208,7 @@
             and record.step <= ReplacementStep.DRAINING
             and not record.has_flag(MachineFlag.ENGINE)
         ):
-            # Once it has started again, it takes its own replacement back.
+            # After a restart this dispatcher drives its own replacement again.
             return now - self.view.started_at > self.settings.startup_grace_ms
         live = {m.id for m in self.view.machines.values() if not m.is_engine}
         if (
@@ -266,7 +266,7 @@
         return actions
 
     def _is_sole_driver(self, now: float, name: str, progress: LocalProgress) -> bool:
-        """Whether this instance is the only driver now.
+        """Return whether this instance is the only driver now.
 
         It has read its epoch from the record recently, and the previous driver has stopped acting.
         """
@@ -279,7 +279,7 @@
     def _with_next_driver(
         self, name: str, record: MachineRecord, next_record: MachineRecord
     ) -> MachineRecord:
-        """Return the record, with another driver if this instance itself is taken out by it."""
+        """Return the record; if it takes this instance out, it names another instance as driver."""
         if next_record.step is not ReplacementStep.OUT or name != self.view.local_machine:
             return next_record
         others = self._candidates(name, next_record)
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -42,7 +42,7 @@
 
 
 class ReplacementStep(IntEnum):
-    """The steps of the replacement of one machine; operators and metrics see the names in lower case."""
+    """The steps of the replacement of one machine; metrics and operators' tools show lower-case names."""
 
     ASKED = 1
     AGREED = 2  # a dispatcher drives the replacement and waits until it may start
@@ -208,7 +208,7 @@
         return self.step in FINAL_STEPS
 
     def has_flag(self, flag: MachineFlag) -> bool:
-        """Whether the flag is set."""
+        """Return whether the flag is set."""
         return bool(int(self.flags) & int(flag))
 
     def missing_cores_tenths(self) -> int:
--- a/cottonhold/fleet/rolling_replacement/plan_codec.py
+++ b/cottonhold/fleet/rolling_replacement/plan_codec.py
@@ -68,7 +68,7 @@
         texts, position = _decode_texts(data, PLAN_FORMAT.size, max_sizes)
         active_machine_ids = struct.unpack(f"!{data[position]}Q", data[position + 1 :])
         if format_version != FORMAT_VERSION or len(active_machine_ids) > MAX_CONCURRENT_REPLACEMENTS:
-            raise MessageError("swap")
+            raise MessageError("malformed plan")
         return ReplacementPlan(
             state=PlanState(state),
             serial=serial,
@@ -82,7 +82,7 @@
             active_machine_ids=active_machine_ids,
         )
     except (struct.error, IndexError, ValueError):
-        raise MessageError("swap") from None
+        raise MessageError("malformed plan") from None
 
 
 def encode_record(record: MachineRecord) -> bytes:
@@ -122,7 +122,7 @@
         max_sizes = (MAX_NAME_BYTES, MAX_NAME_BYTES, MAX_REQUESTER_BYTES)
         texts, position = _decode_texts(data, RECORD_FORMAT.size, max_sizes)
         if format_version != FORMAT_VERSION or position != len(data):
-            raise MessageError("swap")
+            raise MessageError("malformed machine record")
         return MachineRecord(
             step=ReplacementStep(step),
             serial=serial,
@@ -141,7 +141,7 @@
             requested_by=texts[2],
         )
     except (struct.error, IndexError, ValueError):
-        raise MessageError("swap") from None
+        raise MessageError("malformed machine record") from None
 
 
 def _encode_text(text: str) -> bytes:
@@ -154,7 +154,7 @@
     for max_size in max_sizes:
         size = data[position]
         if size > max_size or position + 1 + size > len(data):
-            raise MessageError("text")
+            raise MessageError("text too long or truncated")
         texts.append(data[position + 1 : position + 1 + size].decode())
         position += 1 + size
     return texts, position
--- a/cottonhold/fleet/rolling_replacement/schedule.py
+++ b/cottonhold/fleet/rolling_replacement/schedule.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-# Takes the missing cores by zone number, and returns why they must not be missing.
+# Receives the missing cores by zone number; returns the reasons why they must not be missing.
 CapacityCheck = Callable[[Mapping[int, float]], list[str]]
 MAX_SCHEDULES = 300  # maximum number of schedules in a search
 RULE_COUNT = 4  # number of orders by a rule with which a search starts
--- a/cottonhold/fleet/rolling_replacement/start_conditions.py
+++ b/cottonhold/fleet/rolling_replacement/start_conditions.py
@@ -1,4 +1,4 @@
-"""Whether a machine's replacement may start now, according to the registers and present machines. Pure."""
+"""Decides whether a machine's replacement may start, by the registers and the present machines. Pure."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 from cottonhold.fleet.zone_failover.evacuation import majority
 from cottonhold.fleet.zone_failover.messages import zone_number
 
-# Takes the missing cores by zone, and returns why they must not be missing.
+# Receives the missing cores by zone; returns the reasons why they must not be missing.
 CapacityCheck = Callable[[Mapping[str, float]], list[str]]
-MAX_CHECK_AGE_MS = 500.0  # how long results of the capacity check are reused
+MAX_CHECK_AGE_MS = 500.0  # time for which results of the capacity check are reused
 
 
 def available_voters(
@@ -106,7 +106,7 @@
         voters_down = max(self.voters - available_voters(plan, records, machines) - active_voters, 0)
         missing_cores = dict[int, float]()
         for name, record in records.items():
-            # The capacity check takes the cores of a smaller engine that is in place from the endpoint list.
+            # For an engine in place, the capacity check reads the lower number of cores from the engine list.
             is_known = record.has_flag(MachineFlag.ENGINE) and record.replacement in machines
             if name not in active and record.missing_cores_tenths() and not is_known:
                 missing_cores[record.zone] = (
--- a/cottonhold/fleet/rolling_replacement/step_decision.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineView:
-    """The state of one machine's replacement that its driver decides on.
+    """The state of one machine's replacement on which its driver's decision depends.
 
     Attributes:
         step_age_ms: Time since this instance has seen the current step, in ms.
@@ -221,7 +221,7 @@
 
 
 def _is_other_incarnation(record: MachineRecord, arrived: Machine) -> bool:
-    """Whether the machine with the old machine's name was started after the old machine was out."""
+    """Return whether the machine with the old machine's name was started after the old machine was out."""
     incarnation = arrived.incarnation & 0xFFFFFFFF
     if not record.has_flag(MachineFlag.ENGINE):
         return incarnation != record.incarnation
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -158,7 +158,7 @@
             self._add_entry(sender, EntryKind.ANNOUNCE_ACK, entry)
 
     def _is_outdated(self, record: OwnershipRecord, entry: MigrationEntry) -> bool:
-        """Whether an announcement replaces the record: it is newer, and this member does not own the key."""
+        """Return whether an announcement is newer than the record, and this member does not own the key."""
         is_owned = record.state not in (OwnershipState.ACCEPTED, OwnershipState.RELEASED)
         return record.epoch < entry.epoch and not is_owned
 
@@ -255,7 +255,7 @@
         handlers[kind](now, sender, entry)
 
     def _send_pending(self, now: float, key: bytes, record: OwnershipRecord) -> None:
-        """Send again the key's messages that are not answered; the key is finished if there are none."""
+        """Resend the key's unanswered messages; a key without any needs no further steps."""
         if record.pending_token:
             record.next_send_at = math.inf  # scheduled again by `on_persisted`
             return
@@ -288,7 +288,7 @@
             self.unfinished_keys.discard(key)
 
     def _drain_actions(self, now: float) -> list[Action]:
-        """Do everything that is due, and return the resulting actions."""
+        """Run all due work, and return the resulting actions."""
         self.lease.step(now, self.settings.retry_interval_ms)
         self._synchronize(now)
         if self._is_complete() and self.candidates:
@@ -316,7 +316,7 @@
                 self._add_entry(offer.target, EntryKind.WITHDRAW, MigrationEntry(key, epoch))
 
     def _send_entries(self) -> None:
-        """Send the collected entries, with as many in a message as fit."""
+        """Send the collected entries, with up to MAX_ENTRIES of them in each message."""
         for (member, kind), entries in self.outgoing_entries.items():
             for start in range(0, len(entries), messages.MAX_ENTRIES):
                 payload = messages.encode_entries(kind, entries[start : start + messages.MAX_ENTRIES])
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -94,7 +94,7 @@
         self.forgotten_epoch = 0  # highest epoch of an ownership record that was purged
         # As a voter: for each refused member, the least epoch of a table with which it may get a lease.
         self.refused_epochs: dict[int, int] = {}
-        self.is_barred = not folder_is_current  # grants and promises nothing until it is admitted
+        self.is_barred = not folder_is_current  # whether it grants and promises nothing until admitted
         # A member without a usable state folder does not know whether recent fences are in force already.
         self.fences: dict[int, Fence] = {m: Fence() for m in fenced if m != member and m not in self.members}
         self.fenced_at: dict[int, float] = dict.fromkeys(self.fences, now)
@@ -109,12 +109,15 @@
         self.actions: list[SendConsensusMessage | PersistState] = []
 
     def valid_until(self) -> float:
-        """Return until when this member may start requests for its keys; a past time if it may not."""
+        """Return the time until which this member may start requests for its keys.
+
+        It is in the past if the member may not start any.
+        """
         claim = self.leases.claims.get(self.member)
         return claim.expires_at if claim is not None and self.member in self.members else -math.inf
 
     def fences_in_force(self, now: float) -> bool:
-        """Whether the fences of all members removed up to this epoch are in force."""
+        """Return whether the fences of all members removed up to this epoch are in force."""
         return all(now >= fence.in_force_at for fence in self.fences.values())
 
     def next_at(self) -> float:
@@ -186,7 +189,7 @@
         self._send_lease_actions(self.leases.on_message(now, sender, message))
 
     def _is_refused(self, member: int, epoch: int) -> bool:
-        """Whether a member whose newest table has this epoch must not get a lease.
+        """Return whether a member whose newest table has this epoch must not get a lease.
 
         A voter that lost its state folder has lost its promises to refuse members, so it checks its table as
         well. Otherwise a member that was fenced while it was cut off would get a lease under an old table.
--- a/cottonhold/fleet/session_affinity/membership_table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -3,7 +3,7 @@
 The table's register holds the epoch, the members and the last changes, each of which is one epoch. Every
 member reads it and applies the changes that it has not applied yet, in order (`MemberList.changes_since`). A
 member that missed more changes than the register holds cannot determine whether it was fenced and admitted
-meanwhile, so it restarts like a member with an empty state folder.
+again since then, so it restarts like a member with an empty state folder.
 
 The table is empty initially, and each member requests its own admission. So a member whose state folder has
 no table or is known to be out of date does not depend on whether the fleet is new: if it is listed in the
@@ -29,10 +29,10 @@
 from cottonhold.fleet.rolling_replacement.machine_driver import takeover_order
 
 TABLE_REGISTER = "pins"  # name of the register
-HEAD_FORMAT = struct.Struct("!IBBH")  # epoch, number of listed members, of changes; bit mask of members
+HEAD_FORMAT = struct.Struct("!IBBH")  # epoch, number of members, number of changes, bit mask of members
 MEMBER_FORMAT = struct.Struct("!Q")
-MAX_CHANGES = 16  # fewer are kept if they do not fit into a register
-MAX_MEMBERS = 12  # as many as fit into a register
+MAX_CHANGES = 16  # maximum number of changes kept; fewer if they do not fit into a register
+MAX_MEMBERS = 12  # maximum number of members that fit into a register
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,7 +40,7 @@
     """Times of the membership table.
 
     Attributes:
-        failure_timeout_ms: Time after which a member is fenced that is not among the live members, in ms.
+        failure_timeout_ms: Time after which a member that is not among the live members is fenced, in ms.
         proposer_stagger_ms: Delay between one member's turn to propose a change and the next one's, in ms.
         max_read_age_ms: Maximum age of the last read of the register when a change is proposed, in ms.
         pending_read_interval_ms: Interval between reads while a change is needed, in ms.
@@ -120,17 +120,17 @@
     if not data:
         return MemberList()
     if len(data) < HEAD_FORMAT.size:
-        raise MessageError("truncated")
+        raise MessageError("truncated membership table")
     epoch, member_count, change_count, mask = HEAD_FORMAT.unpack_from(data)
     changes_start = HEAD_FORMAT.size + member_count * MEMBER_FORMAT.size
     ids, encoded_changes = data[HEAD_FORMAT.size : changes_start], data[changes_start:]
     if len(ids) != member_count * MEMBER_FORMAT.size or len(encoded_changes) != change_count:
-        raise MessageError("length")
+        raise MessageError("membership table has the wrong length")
     if change_count > epoch:
-        raise MessageError("length")
+        raise MessageError("membership table has more changes than epochs")
     listed = [member for (member,) in MEMBER_FORMAT.iter_unpack(ids)]
     if mask >> member_count or any(byte >> 1 >= member_count for byte in encoded_changes):
-        raise MessageError("member")
+        raise MessageError("unknown member in the membership table")
     members = frozenset(member for i, member in enumerate(listed) if mask >> i & 1)
     changes = tuple(TableChange(listed[byte >> 1], bool(byte & 1)) for byte in encoded_changes)
     return MemberList(epoch, members, changes)
@@ -161,7 +161,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NeededChange:
-    """A change that the table needs, and since when this member has found it needed."""
+    """A change that the table needs, and when this member found that it is needed."""
 
     change: TableChange
     needed_since: float
--- a/cottonhold/fleet/session_affinity/messages.py
+++ b/cottonhold/fleet/session_affinity/messages.py
@@ -74,13 +74,13 @@
         MessageError: The message is malformed; none of its entries may be applied.
     """
     if len(data) < HEAD_FORMAT.size or data[0] != MIGRATION:
-        raise MessageError("batch")
+        raise MessageError("not a migration message")
     if len(data) != HEAD_FORMAT.size + data[2] * ENTRY_FORMAT.size:
-        raise MessageError("batch")
+        raise MessageError("number of entries does not match the length")
     try:
         kind = EntryKind(data[1])
     except ValueError:
-        raise MessageError("step") from None
+        raise MessageError("unknown kind of migration entries") from None
     rows = ENTRY_FORMAT.iter_unpack(data[HEAD_FORMAT.size :])
     return kind, [MigrationEntry(key, epoch, flags) for key, epoch, flags in rows]
 
@@ -97,11 +97,11 @@
 def decode_lease(data: bytes) -> tuple[leases.LeaseRequest | leases.LeaseReply, int]:
     """Return a decoded lease request or answer, and the sender's epoch. Raises MessageError."""
     if len(data) != LEASE_FORMAT.size or data[0] != LEASE or data[1] > RELEASE_REQUEST:
-        raise MessageError("lease")
+        raise MessageError("malformed lease message")
     _, kind, duty, term, epoch, wait_ms = LEASE_FORMAT.unpack(data)
     if kind == ANSWER:
         if not wait_ms < MAX_WAIT_MS:  # also rejects NaN
-            raise MessageError("wait")
+            raise MessageError("delay of a lease answer out of range")
         return leases.LeaseReply(duty, term, wait_ms < 0, max(wait_ms, 0.0)), epoch
     return leases.LeaseRequest(duty, term, kind == RELEASE_REQUEST), epoch
 
@@ -117,6 +117,6 @@
     Raises MessageError.
     """
     if len(data) != NOTICE_FORMAT.size or data[1] > 1:
-        raise MessageError("short")
+        raise MessageError("malformed notice")
     _, is_answer, member, epoch = NOTICE_FORMAT.unpack(data)
     return bool(is_answer), member, epoch
--- a/cottonhold/fleet/session_affinity/migration.py
+++ b/cottonhold/fleet/session_affinity/migration.py
@@ -175,12 +175,15 @@
         self._persist(entry.key, record)
 
     def _has_accepted(self, record: OwnershipRecord, sender: int, entry: MigrationEntry) -> bool:
-        """Whether this member has accepted the key from the sender under the entry's epoch."""
+        """Return whether this member has accepted the key from the sender under the entry's epoch."""
         is_accepted = record.state is OwnershipState.ACCEPTED and record.peer == sender
         return is_accepted and record.epoch == entry.epoch
 
     def _may_accept(self, record: OwnershipRecord | None, sender: int) -> bool:
-        """Whether a key may be accepted: both are members, and this one has capacity and is not the owner."""
+        """Return whether a key may be accepted from the sender.
+
+        Both must be members, and this member must have capacity and must not own the key.
+        """
         if self.member not in self.lease.members or sender not in self.lease.members:
             return False
         if len(self.records) >= 2 * self.settings.max_records:
@@ -200,7 +203,7 @@
             self._add_entry(sender, EntryKind.RELEASE_ACK, entry)
 
     def _has_acquired(self, record: OwnershipRecord, entry: MigrationEntry) -> bool:
-        """Whether ownership under the entry's epoch is on disk and the key's home has recorded it."""
+        """Return whether ownership under the entry's epoch is on disk and the key's home has recorded it."""
         return record.epoch == entry.epoch and record.home_informed and not record.pending_token
 
     def _acquire(self, now: float, key: bytes, record: OwnershipRecord, may_have_run: bool) -> None:
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -238,7 +238,7 @@
                 is_answer, _, epoch = messages.decode_notice(payload)
                 self._on_announced(sender, is_answer, epoch)
             else:
-                raise MessageError("kind")
+                raise MessageError("unknown kind of session affinity message")
         except MessageError:
             self.counts["malformed"] += 1
         return self._drain_actions(now)
--- a/cottonhold/fleet/session_affinity/ownership_records.py
+++ b/cottonhold/fleet/session_affinity/ownership_records.py
@@ -19,7 +19,7 @@
 from cottonhold.membership.leases import LeaseSettings
 from cottonhold.membership.rendezvous import score
 
-OWNERSHIP_RECORD_PREFIX = "pin/"  # of the names of records; the key in hexadecimal follows
+OWNERSHIP_RECORD_PREFIX = "pin/"  # prefix of records' names; the key in hexadecimal follows
 # Epoch, owner, peer, offered epoch, state, whether a request of an earlier owner may have run.
 RECORD_FORMAT = struct.Struct("!QQQQBB")
 RELEASE_CONFIRMED_FORMAT = struct.Struct("!B")
@@ -38,7 +38,7 @@
         max_moves_per_second: Maximum rate of offers to one target, in keys per second.
         max_pending_offers: Maximum number of keys that are being moved to one target.
         fence_delay_ms: Time after an offer until no further request for the key starts, in ms.
-        retry_after_ms: Time after which a request is retried whose key has no owner now, in ms.
+        retry_after_ms: Time after which a request whose key has no owner now is retried, in ms.
         uncertainty_ms: Time after a fence during which the fenced member's requests may still run, in ms.
         max_records: Expected maximum number of keys of an owner; offers are declined at twice this number.
         max_overload_factor: Maximum ratio of the keys moved to a target to its proportional share.
@@ -146,8 +146,9 @@
 class OwnershipRecord:
     """The owner of a key as recorded at one member, and the progress of its move.
 
-    peer is the target of a move; at the target it is the member from which the key is moved. offered_epoch is
-    the epoch under which the key is offered.
+    Attributes:
+        peer: The target of a move; at the target, the member from which the key is moved.
+        offered_epoch: The epoch under which the key is offered.
     """
 
     epoch: int
@@ -277,11 +278,11 @@
         return self.lease.members - {self.member} if self.member in self.lease.members else set()
 
     def _is_complete(self) -> bool:
-        """Whether all other members have announced their keys to this home, and all fences are in force."""
+        """Return whether all others have announced their keys to this home, and all fences are in force."""
         return self.lease.complete_epoch == self.lease.epoch and self.member in self.lease.members
 
     def _may_start_without_record(self, key: bytes) -> bool:
-        """Whether this member owns a key without a record.
+        """Return whether this member owns a key without a record.
 
         It does if the table is complete, or if it was the key's home in all tables since the last complete
         one.
@@ -388,7 +389,7 @@
             self._forget(key)
 
     def _may_forget(self, key: bytes, record: OwnershipRecord) -> bool:
-        """Whether another member owns the key, and neither a pending move nor this home needs its record."""
+        """Return whether another member owns the key, and neither a move nor this home needs its record."""
         if record.state is not OwnershipState.RELEASED or not record.release_confirmed:
             return False
         if record.pending_token or key in self.unfinished_keys:
--- a/cottonhold/fleet/session_affinity/service.py
+++ b/cottonhold/fleet/session_affinity/service.py
@@ -30,7 +30,7 @@
 
 
 class DepartureState(Enum):
-    """How far this member has to withdraw for its rolling replacement.
+    """The stage of this member's rolling replacement, on which its ownership of keys depends.
 
     Attributes:
         STAYING: It is not being replaced.
@@ -94,10 +94,10 @@
         self.records = dict(records)
         self.ownership: KeyOwnership | None = None
         self.surroundings = Surroundings(None)
-        self.start_count = 0  # starts of key ownership, with the records or without
+        self.start_count = 0  # number of starts of key ownership, with or without the records
         self.removed_at: float | None = None  # when this member was found removed from the table
-        self.is_closing = False  # owns no keys any more, and requests its own fence
-        self.open_request_ids: set[int] = set()  # opened since the last start
+        self.is_closing = False  # whether it owns no keys any more, and requests its own fence
+        self.open_request_ids: set[int] = set()  # requests opened since the last start of ownership
         self.recent_keys: dict[bytes, None] = {}  # keys of arrived requests, oldest first; they are moved too
         self.actions: list[Action] = []
         self.counts = {"gaps": 0, "moved": 0, "took": 0, "stayed": 0}
@@ -132,7 +132,7 @@
         return self.ownership.ownership_of(now, key) if self.ownership is not None else None
 
     def will_not_start(self, now: float, key: bytes) -> bool:
-        """Whether a waiting request for the key will not start here.
+        """Return whether a waiting request for the key will not start here.
 
         That is so before key ownership has started, or if the lease is valid and the key is not owned here.
         """
@@ -189,7 +189,7 @@
         return self._convert_actions(self.ownership.on_request_opened(now, key, request_id))
 
     def on_request_ended(self, now: float, key: bytes, request_id: int, outcome_known: bool) -> list[Action]:
-        """Record that a request for the key has ended; requests opened before the last start are ignored."""
+        """Record the end of a request for the key, unless it was opened before key ownership last started."""
         if self.ownership is None or request_id not in self.open_request_ids:
             return []
         self.open_request_ids.discard(request_id)
@@ -220,7 +220,7 @@
         return self._convert_actions(self.ownership.on_message(now, sender, payload))
 
     def on_persisted(self, now: float, token: int) -> list[Action]:
-        """Record that the write with this token is on disk; writes of an earlier start are ignored."""
+        """Record that a write is on disk; tokens from before key ownership last started are ignored."""
         if self.ownership is None or token // TOKENS_PER_START != self.start_count:
             return []
         return self._convert_actions(self.ownership.on_persisted(now, token % TOKENS_PER_START))
@@ -254,7 +254,7 @@
         return actions
 
     def _start(self, now: float) -> None:
-        """Start key ownership with the records if they are current, or without once the table is known."""
+        """Start key ownership with current records, or without records once the table is known."""
         if self.surroundings.folder_is_current is None:
             return
         if self.surroundings.folder_is_current and TABLE_RECORD in self.records:
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -33,8 +33,8 @@
 WAIT_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, MAX_WAIT_MS)  # upper bounds of the histogram
 MAX_HOPS_WITHOUT_PAUSE = 3  # hops via the key's home, its owner, and one move in between
 MAX_HINTS = 20_000  # largest number of owner hints kept, and of returned rounds
-RETRY_RESERVE_MS = 100.0  # part of the client's timeout that is left when it is told to retry
-ANSWER_RESERVE_MS = 50.0  # part of the client's timeout that is reserved for a forwarded request's answer
+RETRY_RESERVE_MS = 100.0  # time left until the client's timeout when the client is told to retry
+ANSWER_RESERVE_MS = 50.0  # time reserved before the client's timeout for a forwarded request's answer
 
 
 class KeyRouter(Protocol):
@@ -98,7 +98,7 @@
     wait_deadline: float  # time until which the request waits for an owner
     on_outcome: LoadOutcomeCallback
     origin_round: OriginRound | None  # None unless another member forwarded the request to this one
-    owner: int = 0  # id of the member that it is forwarded to; 0: it is here
+    owner: int = 0  # id of the member that it is forwarded to; 0: not forwarded
     retry_at: float = 0.0  # earliest time of the next placement
     waiting_since: float = 0.0  # 0: not waiting
     known_owner: int = 0  # for a request forwarded to this member: the owner to report to its origin; 0: none
@@ -166,7 +166,7 @@
     def before_attempt_sent(
         self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
-        """Have an attempt recorded, and stop it if this instance does not own the key before and after."""
+        """Record an attempt; stop it if this instance does not own the key before or after the write."""
         request = self.requests.get(attempt.request_id)
         if request is None:
             self.loads.before_attempt_sent(attempt, client_request, on_recorded)
@@ -234,7 +234,7 @@
         self.place_waiting(request.key)
 
     def _on_not_owner(self, request: KeyedRequest, ended: ForwardingEnded) -> None:
-        """Store the owner that the receiver reported, which is the key's home but not its owner."""
+        """Store the owner that the receiver reported; the receiver itself does not own the key."""
         owner = int.from_bytes(ended.data, "big") if len(ended.data) == 8 else 0
         self.owner_hints.pop(request.key, None)
         if owner:
@@ -242,7 +242,7 @@
             if len(self.owner_hints) > MAX_HINTS:
                 del self.owner_hints[next(iter(self.owner_hints))]
         request.hop_count += 1
-        # Two members that each believe the other to be the owner would forward it in a loop without a pause.
+        # Two members that each regard the other as the owner would forward it in a loop without a pause.
         if not owner or request.hop_count % MAX_HOPS_WITHOUT_PAUSE == 0:
             request.retry_at = self.clock.now() + self.router.retry_after_ms
 
--- a/cottonhold/fleet_adapters/load_conversions.py
+++ b/cottonhold/fleet_adapters/load_conversions.py
@@ -59,7 +59,7 @@
 def outcome_of(knowledge: LoadKnowledge, may_report_success: bool) -> LoadOutcome:
     """Convert the knowledge of a load to the gateway's outcome.
 
-    `may_report_success` tells whether its class allows a success to be reported without the result.
+    `may_report_success` states whether its class allows a success to be reported without the result.
     """
     if knowledge is LoadKnowledge.SUCCEEDED:
         return LoadOutcome.SUCCEEDED if may_report_success else LoadOutcome.MAY_HAVE_RUN
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -38,7 +38,7 @@
     """The execution of a request's load, from its first attempt to its end."""
 
     load: bytes  # identity of the load
-    is_begun: bool = False  # the history counts the load as sent
+    is_begun: bool = False  # the history has recorded the load as sent
     is_attempt_in_flight: bool = False
     is_closed: bool = False  # the client has the final response or has disconnected
 
@@ -183,8 +183,8 @@
     ) -> None:
         """Record an attempt, and call `on_recorded` once the record is durable.
 
-        The load counts as sent from this call on: an instance that queries it during the write must not get
-        the answer that it was never sent.
+        The history records the load as sent before the write: an instance that queries it during the write
+        must not get the answer that it was never sent.
         """
         now = self.now()
         run = self.runs.setdefault(client_request.request_id, LoadRun(identity_of(client_request)))
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -69,7 +69,7 @@
     MemoryState.STALE: "old",
 }
 MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 5.0, 1000.0  # bounds of the interval between two steps
-SILENCE_INTERVAL_MS = 200.0  # interval between two proofs of silence while a retry waits: a round of reports
+SILENCE_INTERVAL_MS = 200.0  # interval between updates of `silent` while a retry waits: a round of reports
 
 
 class ReportedLoss(NamedTuple):
@@ -132,8 +132,7 @@
         self.ledger, self.swim, self.fleet, self.clock = ledger, swim, fleet, clock
         self.call_in_loop, self.send, self.counters, self.log = call_in_loop, send, counters, log
         self.retention_ms = retention_ms_of(installation)
-        # A further condition for sending loads, which the dispatcher sets.
-        self.are_engines_known: Callable[[], bool] = lambda: True
+        self.are_engines_known: Callable[[], bool] = lambda: True  # loads require it; set by the dispatcher
         self.timer: Timer | None = None
         self.silent: dict[int, ProvenSilence] = {}  # by dispatcher number
         self.silent_at = -MAX_STEP_INTERVAL_MS  # time of the last computation of `silent`
@@ -290,9 +289,9 @@
         self._schedule_step(min(self.survey.next_at(), self.history.next_at()) - now)
 
     def _update_silent(self, now: float) -> None:
-        """Compute which dispatchers are proven silent, which visits each pair of dispatchers.
+        """Compute which dispatchers are proven silent, at a cost quadratic in the number of dispatchers.
 
-        Only a pending retry needs it after each round of reports.
+        Therefore it is computed after each round of reports only while a retry is pending.
         """
         is_needed_soon = self.history.has_pending
         if not is_needed_soon and not self.survey.view.missing:
@@ -343,7 +342,7 @@
             self.fleet.set_incarnation(incarnation_of(self.ledger))
 
     def _store_checkpoint(self, checkpoint: int) -> None:
-        """Store the checkpoint up to which the folder's loads are complete; tell the survey once durable."""
+        """Store the checkpoint up to which the folder's loads are complete; then notify the survey."""
 
         def on_written(durable: bool) -> None:
             self.call_in_loop(lambda: self._on_checkpoint_written(checkpoint, durable))
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -247,7 +247,8 @@
             )
         demand = self.fleet.demand
         is_shedding_load = demand is not None and demand.threshold is not None and demand.threshold.step > 0
-        # Load shedding is a separate reason: a draining engine may cause it and must not block itself by it.
+        # Load shedding is a separate reason, because a draining engine may cause it. The engine's own drain
+        # must not be blocked by it.
         coordinator.set_fleet_trouble(
             now, "sheds", "the fleet turns requests away" if is_shedding_load else ""
         )
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -1,6 +1,7 @@
-"""Runs session affinity: its records on disk, datagrams and timers. Makes no decisions of its own.
+"""Runs session affinity: its records on disk, datagrams and timers.
 
-It is off unless the configuration file contains `fleet: {pins: true}`.
+The adapter makes no decisions of its own. Session affinity is off unless the configuration file contains
+`fleet: {pins: true}`.
 """
 
 from __future__ import annotations
@@ -189,7 +190,7 @@
 
     def remaining_here(self) -> int:
         """Return the number of keys and requests that still prevent this machine's removal."""
-        # The replacement's newest step counts: the service may still have an earlier one from its last step.
+        # Passes the replacement's newest step, since the service may still have an earlier one.
         return self.service.remaining_count(
             self.clock.now(), self._departure(self.replacement.coordinator.view.records.get(self.name))
         )
@@ -291,7 +292,7 @@
 
     def _schedule_step(self, delay_ms: float) -> None:
         delay_ms = min(max(delay_ms, MIN_STEP_INTERVAL_MS), MAX_STEP_INTERVAL_MS)
-        # An earlier step stays scheduled, or frequent events would postpone it without end.
+        # An earlier step stays scheduled, or frequent events would postpone it indefinitely.
         if self.timer is not None and self.timer_at <= self.clock.now() + delay_ms:
             return
         if self.timer is not None:
@@ -342,7 +343,7 @@
         return _histogram(WAIT_STEPS_MS, self.guard.wait_histogram)
 
     def _handover_histogram(self) -> str:
-        """Return how many keys moved from here had no owner, by the upper bound of that time in ms."""
+        """Return the number of keys moved from here, by upper bound of the time without an owner, in ms."""
         ownership = self.service.ownership
         return _histogram(HANDOVER_BUCKETS_MS, ownership.handover_histogram) if ownership is not None else ""
 
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -32,9 +32,9 @@
 from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
 from cottonhold.transport.clock import Clock, Timer
 
-# Whether an attempt's outcome is evidence for or against its engine. Attempts that were rejected, cancelled
-# or never sent are no evidence. Neither is a time-out, since the query may have spent its time in this
-# instance's queue: it counts as a cancelled attempt, with the time that the attempt itself ran.
+# Outcomes of attempts that are evidence for (True) or against (False) the engine. Attempts that were
+# rejected, cancelled or never sent are no evidence. Neither is a timeout, since the query may have spent its
+# time in this instance's queue: it is recorded as a cancelled attempt, with the time that the attempt ran.
 SUCCESS_BY_OUTCOME = {
     Outcome.OK: True,
     Outcome.ERROR: False,
--- a/cottonhold/node/attempt_sender.py
+++ b/cottonhold/node/attempt_sender.py
@@ -1,6 +1,7 @@
 """Starts, changes and cancels attempts of open requests as the scheduler decides.
 
-The attempt of a load starts once the load guard has recorded it. An attempt that was never sent ends here.
+The attempt of a load starts once the load guard has recorded it. This module also ends attempts that
+were never sent.
 """
 
 from __future__ import annotations
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -340,7 +340,7 @@
         self.log.note("config_reloaded", classes=len(after), added=added, removed=removed)
 
     def begin_shutdown(self) -> None:
-        """Begin a shutdown; its deadlines count from this call, not from when `run` resumes."""
+        """Begin a shutdown; its deadlines are measured from this call, not from when `run` resumes."""
         max_deadline_ms = max(cls.deadline_ms for cls in self.gateway.settings.classes)
         self.lifecycle.begin_shutdown(self.event_loop.clock.now(), max_deadline_ms)
         self.shutdown_requested.set()
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -95,7 +95,7 @@
         engines.listener = self
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use other settings from now on; open requests keep the settings in force at their arrival."""
+        """Replace the settings; open requests keep the settings in force at their arrival."""
         self._set_settings(settings)
         self.push(SettingsChanged(settings))
 
@@ -106,7 +106,7 @@
     def begin_shutdown(self, deadline: float) -> None:
         """Limit the deadlines of open and later requests to `deadline`, in ms of the clock.
 
-        This process ends then, so requests without a response by that time never get one.
+        This process ends at that time, so requests without a response by that time never get one.
         """
         self.shutdown_deadline = deadline
         for request in self.requests.values():
@@ -310,7 +310,7 @@
         request, observer = self.requests.get(action.query_id), self.notifications.observer
         if observer is not None and request is not None:
             observer.on_demand_estimated(request.client_request, action.utility, action.work_ms)
-            # Called after this iteration: a request that is rejected in this iteration was not admitted.
+            # Deferred until after this iteration: a request that is rejected in it was not admitted.
             self.clock.call_soon(lambda: self._mark_admitted(request))
 
     def _mark_admitted(self, request: OpenRequest) -> None:
--- a/cottonhold/node/http_client.py
+++ b/cottonhold/node/http_client.py
@@ -86,7 +86,7 @@
     def _has_unexpected_data(self) -> bool:
         """Return whether the server has sent data since its last response, or closed the connection.
 
-        Of a TLS connection only decrypted data counts, and not messages of TLS itself such as tickets.
+        On a TLS connection only decrypted data is considered, not messages of TLS itself such as tickets.
         """
         assert self.sock is not None
         try:
@@ -165,7 +165,7 @@
         parser, loop = HttpResponseParser(self.max_body_bytes), self.event_loop.loop
         async with asyncio.timeout(request.first_byte_timeout_ms / 1000) as timeout:
             data = await self._read()
-            # A response that arrives byte by byte must not block the connection without end.
+            # A response that arrives byte by byte must not block the connection indefinitely.
             timeout.reschedule(loop.time() + request.body_timeout_ms / 1000)
             while data:
                 if (response := parser.receive(data)) is not None:
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -19,8 +19,8 @@
 # Time after the start of a drain during which queries are accepted. 4 s after the start of a drain, no open
 # request may be younger than 2 s.
 DRAIN_ACCEPT_QUERIES_MS = 1500.0
-# After SIGTERM, new connections arrive for 0.4 s, and requests on open connections for 0.2 s more.
-# Time after SIGTERM during which queries are accepted that may still run at SIGKILL; includes a busy loop's
+# After SIGTERM, new connections still arrive for 0.4 s, and requests on open connections for 0.2 s more.
+# Time after SIGTERM during which queries that may still run at SIGKILL are accepted; includes a busy loop's
 # lag.
 SHUTDOWN_ACCEPT_LONG_MS = 400.0
 SHUTDOWN_IDLE_CLOSE_MS = 600.0  # time after SIGTERM from which idle connections are closed
@@ -32,7 +32,7 @@
 
 
 class Phase(Enum):
-    """The phase of this process; operators and clients see the values."""
+    """The phase of this process; the values are shown to operators and clients."""
 
     SERVING = "serving"
     DRAINING = "draining"
--- a/cottonhold/node/load_guard.py
+++ b/cottonhold/node/load_guard.py
@@ -1,4 +1,4 @@
-"""The interface between the gateway and the load guard, which prevents that a load runs twice."""
+"""The interface between the gateway and the load guard, which prevents a load from running twice."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     def before_attempt_sent(
         self, attempt: Attempt, request: ClientRequest, on_recorded: Callable[[bool], None], /
     ) -> None:
-        """Record an attempt before it is sent; call `on_recorded` once, with whether it was recorded."""
+        """Record an attempt before it is sent; call `on_recorded` once, with True if it was recorded."""
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """Record the outcome of an attempt; None if the attempt was never started."""
--- a/cottonhold/node/notifications.py
+++ b/cottonhold/node/notifications.py
@@ -22,7 +22,7 @@
         self.load_guard: LoadGuard | None = None
 
     def attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Notify both of the end of an attempt that was started."""
+        """Notify the observer and the load guard of the end of an attempt that was started."""
         try:
             if self.observer is not None:
                 self.observer.on_attempt_ended(attempt, event)
@@ -32,7 +32,7 @@
             self.on_fault(error)
 
     def attempt_not_started(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Notify both of the end of an attempt that never started, which is no evidence about its engine."""
+        """Notify observer and load guard of an attempt that never started: no evidence about its engine."""
         if self.observer is not None:
             never_started = dataclasses.replace(event, outcome=Outcome.NOT_STARTED)
             self.observer.on_attempt_ended(attempt, never_started)
@@ -40,7 +40,7 @@
             self.load_guard.on_attempt_ended(attempt, None)
 
     def request_closed(self, request: ClientRequest) -> None:
-        """Notify both that a request is about to get its final response."""
+        """Notify the observer and the load guard that a request is about to get its final response."""
         try:
             if self.observer is not None:
                 self.observer.on_request_closed(request.request_id)
--- a/cottonhold/node/sibling_processes.py
+++ b/cottonhold/node/sibling_processes.py
@@ -1,4 +1,4 @@
-"""Finds the other processes of the same dispatcher by slots in $TMPDIR, files that their processes lock.
+"""Finds the other processes of the same dispatcher by their slots, which are locked files in $TMPDIR.
 
 In an upgrade a second process serves at the same address while the first one shuts down. The kernel releases
 a lock however its process ends, so an unlocked file is a free slot. The record in the file contains the
@@ -151,9 +151,9 @@
 
 
 def try_lock(file: int, operation: int) -> bool:
-    """Try to lock an open file, until the file is closed; return whether that succeeded.
+    """Try to lock an open file until it is closed; return whether this succeeded.
 
-    An error in locking counts as a lock that another process holds.
+    An error in locking is treated like a lock that another process holds.
     """
     try:
         fcntl.flock(file, operation | fcntl.LOCK_NB)
