--- a/cottonhold/fleet/consensus/voter_recovery.py
+++ b/cottonhold/fleet/consensus/voter_recovery.py
@@ -78,7 +78,7 @@
         self.quorum = len(self.other_voters) // 2 + 1  # more than half of the other voters
         self.folder_id = folder_id
         self.round = folder_id & 0x7FFFFFFF
-        self.epoch = 0  # the epoch of this recovery
+        self.epoch = 0  # epoch of this recovery
         self.hello_replies: dict[int, HelloReply] = {}
         self.previous_new_folders: dict[int, int] = {}  # previous round's folder ids, if no voter was voting
         self.copies: dict[int, RegisterCopy] = {}
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -315,10 +315,10 @@
         return record.step is ReplacementStep.OUT and is_same_incarnation
 
     def _is_withheld(self, name: str, record: MachineRecord) -> bool:
-        """Return whether an engine must not get new requests.
+        """Return whether no new requests may be sent to an engine.
 
         That holds from DRAINING until an engine with its name is in place, or permanently if its replacement
-        has another name.
+        has another name and is not aborted.
         """
         if record.step in (ReplacementStep.DRAINING, ReplacementStep.OUT):
             return True
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -79,17 +79,17 @@
 
 @dataclass(slots=True)
 class LocalProgress:
-    """What this instance has observed of a machine's replacement since its start, besides the record."""
+    """This instance's observations of a machine's replacement since its start, apart from the record."""
 
     won_epoch: int = -1  # epoch under which this instance is the driver
     won_at: float = 0.0
-    claimed_epoch: int = -1  # epoch of its last attempt to become the driver
+    claimed_epoch: int = -1  # epoch of this instance's last attempt to become the driver
     driver_needed_since: float | None = None
     moving_since: float | None = None
     step: ReplacementStep | None = None
     step_seen_at: float = 0.0
     last_move_at: float = -1e12
-    ready_epoch: int = -1  # epoch for which operators were notified
+    ready_epoch: int = -1  # last epoch for which operators were notified that it may be powered off
     reasons: list[str] = field(default_factory=list)
 
 
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -29,7 +29,7 @@
 
 
 class Announcements(Migration):
-    """The exchange between owners and homes, and the sending of all messages that are due."""
+    """Exchanges announcements between owners and homes, and sends all messages that are due."""
 
     def _on_table_changed(self, now: float, removed: int) -> None:
         """Apply a change of the table; `removed` is the removed member, or NO_MEMBER after an admission."""
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -92,7 +92,7 @@
         # The epoch for which all other members have announced their keys to this home.
         self.complete_epoch = 0 if folder_is_current else NEVER_COMPLETE
         self.forgotten_epoch = 0  # highest epoch of an ownership record that was purged
-        # As a voter: for each refused member, the least epoch of a table with which it may get a lease.
+        # As a voter: for each refused member, the lowest epoch of a table with which it is granted a lease.
         self.refused_epochs: dict[int, int] = {}
         self.is_barred = not folder_is_current  # whether it grants and promises nothing until admitted
         # A member without a usable state folder does not know whether recent fences are in force already.
--- a/cottonhold/fleet/session_affinity/migration.py
+++ b/cottonhold/fleet/session_affinity/migration.py
@@ -17,7 +17,7 @@
 
 
 class Migration(OwnershipRecords):
-    """The exchange between an owner and the target of a move."""
+    """Exchanges the messages of a move between the owner of a key and its target."""
 
     def _offer_queued(self, now: float) -> None:
         for target, queue in self.move_queues.items():
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -28,9 +28,9 @@
 from cottonhold.transport.clock import Clock
 
 KNOWN_OUTCOMES = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other outcome, the load may still run
-MAX_WAIT_MS = 2000.0  # longest wait for the key to have an owner; longer than a fence takes
-MAX_FORWARDED_WAIT_MS = 400.0  # the same limit for a request that another member forwarded to this one
-WAIT_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, MAX_WAIT_MS)  # upper bounds of the histogram
+MAX_WAIT_MS = 2000.0  # longest wait until the key has an owner; exceeds the duration of a fence
+MAX_FORWARDED_WAIT_MS = 400.0  # longest wait for an owner of a request from another member
+WAIT_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, MAX_WAIT_MS)  # upper bounds of buckets
 MAX_HOPS_WITHOUT_PAUSE = 3  # hops via the key's home, its owner, and one move in between
 MAX_HINTS = 20_000  # largest number of owner hints kept, and of returned rounds
 RETRY_RESERVE_MS = 100.0  # time left until the client's timeout when the client is told to retry
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -130,7 +130,7 @@
     def _reject_unrecordable(self, request: ClientRequest, on_settled: LoadOutcomeCallback) -> bool:
         """Reject a request whose load can't be recorded or may not be sent now; return whether it did.
 
-        The history records a retry, and limits the time for which it is told to retry later.
+        The history records a retry, and limits how long its client is told to retry later.
         """
         can_record = self._check_disk() is DiskState.HEALTHY
         if can_record and (request.is_retry or self.may_send_loads()):
@@ -161,7 +161,7 @@
         self.execute(())
 
     def _on_queue_timeout(self, queued: QueuedRequest) -> None:
-        """Tell the client to retry later if its request is still queued at its deadline."""
+        """Answer that the client must retry later if its request is still queued at its deadline."""
         queue = self.queues.get(queued.request.ordering_key or "", deque())
         if queued in queue:
             queue.remove(queued)
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -56,9 +56,9 @@
     settings = SwimSettings(
         probe_interval_ms=section.ping_interval_ms, ping_timeout_ms=section.ping_timeout_ms
     )
-    # The wall clock may have been set back since the last start. The others then report the higher
-    # incarnation, and this instance exceeds it. The session number is random: it distinguishes this start's
-    # datagrams and terms from those of the last start.
+    # The wall clock may have been set back since the last start. The other members then report the last
+    # start's incarnation, which is higher, and this instance chooses one above it. The session number is
+    # random: it distinguishes this start's datagrams and terms from those of the last start.
     session = secrets.randbits(32)
     swim = Swim(
         file.name,
--- a/cottonhold/fleet_adapters/recovery_folder.py
+++ b/cottonhold/fleet_adapters/recovery_folder.py
@@ -17,13 +17,14 @@
 SITE_KEY = b"site"  # key of the instance's own site report, a hint
 # Key of the boot up to which the folder's loads are complete; without this record they are not complete.
 CHECKPOINT_BOOT_KEY = b"base"
-# Key of the mark within that boot. It is a separate record, so that a version without marks reads the boot.
+# Key of the mark within that boot. It is a separate record, so that software that has no marks can still
+# read the boot.
 CHECKPOINT_MARK_KEY = b"mark"
 NUMBER_BYTES = 2  # length of a dispatcher's number as a key
 COUNT_BYTES = 8  # length of a boot count or checkpoint
 
-INCARNATIONS_PER_BOOT = 1 << 42  # exceeds any incarnation that was taken from a clock in ms
-FIRST_COUNTED_INCARNATION = 0x8000_0000  # boot-counted incarnations start above all that a clock gave in s
+INCARNATIONS_PER_BOOT = 1 << 42  # above all incarnations that are Unix times in ms
+FIRST_COUNTED_INCARNATION = 0x8000_0000  # above all incarnations that are Unix times in s
 
 
 class KnownPeer(NamedTuple):
--- a/cottonhold/fleet_adapters/unavailable_load_guard.py
+++ b/cottonhold/fleet_adapters/unavailable_load_guard.py
@@ -45,7 +45,7 @@
     ) -> None:
         """Tell the client to retry later, or report what the history knows about a retry.
 
-        The history records a retry, and limits the time for which it is told to retry later.
+        The history records a retry, and limits how long its client is told to retry later.
         """
         self.counters.add("loads_unkept")
         knowledge, now = LoadKnowledge.NOT_KNOWN_YET, self.now()
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -165,7 +165,7 @@
             )
 
     def on_admission_settled(self, waited_fraction: float, was_rejected: bool) -> None:
-        """Record that an admitted request was sent or rejected, after a fraction of its timeout."""
+        """Record that an admitted request was rejected, or sent after waiting a fraction of its timeout."""
         if self.coordinator.demand is not None:
             self.coordinator.demand.on_admitted(waited_fraction, was_rejected)
 
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -90,14 +90,18 @@
         return min(self.shutdown_since + SHUTDOWN_ACCEPT_CLIENTS_MS, self.close_deadline())
 
     def is_ready(self) -> bool:
-        """Return whether health checks succeed; true in a shutdown, as a newer process may serve already."""
+        """Return whether health checks succeed.
+
+        They fail in a drain, but not because of a shutdown, since a newer process may serve already.
+        """
         return self.draining_since == math.inf
 
     def accepts_query(self, now: float, deadline: float) -> bool:
         """Return whether a query that arrives now, with the given deadline, is accepted.
 
-        Queries that may still run at SIGKILL are accepted for SHUTDOWN_ACCEPT_LONG_MS only: queries that
-        arrive later than 0.7 s after SIGTERM have to be answered before SIGKILL.
+        Once SHUTDOWN_ACCEPT_LONG_MS have passed since SIGTERM, a query is accepted only if its deadline is
+        not after SIGKILL. If no deadline exceeds 3 s, this rejects only queries that arrive later than 0.7 s
+        after SIGTERM.
         """
         if now >= self.shutdown_since + SHUTDOWN_ACCEPT_LONG_MS and deadline > self.kill_deadline:
             return False
--- a/cottonhold/node/request_observer.py
+++ b/cottonhold/node/request_observer.py
@@ -22,7 +22,7 @@
         """Record the scheduler's estimate of a request's utility and its work in ms."""
 
     def on_admission_settled(self, waited_fraction: float, was_rejected: bool, /) -> None:
-        """Record that an admitted request was sent or rejected, after a fraction of its timeout."""
+        """Record that an admitted request was rejected, or sent after waiting a fraction of its timeout."""
 
     def on_request_closed(self, request_id: str, /) -> None:
         """Record that a request has its final response or its client has disconnected."""
--- a/cottonhold/node/standalone/adapter_factory.py
+++ b/cottonhold/node/standalone/adapter_factory.py
@@ -41,7 +41,7 @@
 
         `on_health_check` receives an engine and its load report after another instance's successful check.
         """
-        # Without a ledger, the Unix time in ms is used, which is higher than at former starts.
+        # Without a ledger, the Unix time in ms is used, which is normally higher than at former starts.
         first_incarnation = int(self.clock.unix())
         if ledger is not None:
             first_incarnation = INCARNATIONS_PER_BOOT * ledger.boot_count
--- a/cottonhold/node/standalone/consul_sources.py
+++ b/cottonhold/node/standalone/consul_sources.py
@@ -62,7 +62,7 @@
                 del self.running[name]
             elif source != running.source:
                 running.task.cancel()
-                self.follow(source)  # its first answer is a complete list, so removed engines are noticed
+                self.follow(source)  # the first answer is a complete list, without removed engines
 
     def follow_new(self, sources: Sequence[ConsulSource]) -> None:
         """Start following sources that are not followed yet."""
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -43,7 +43,7 @@
 
 SILENT_SOURCE_S = 10.0  # time after the start after which a source without an answer is logged
 MAX_LIST_WAIT_MS = 10_000.0  # longest time that loads wait after the start for a source's first answer
-DEREGISTER_TIMEOUT_S = 3.0  # longest deregistration, unless SIGKILL comes earlier
+DEREGISTER_TIMEOUT_S = 3.0  # longest duration of the deregistration; SIGKILL may end it earlier
 RELOADED_SECTIONS = ("sources", "known", "log", "register")  # changes in other sections need a restart
 
 
@@ -122,7 +122,7 @@
         """Record loads in the ledger, and make the other parts that need it."""
         membership, fleet = self.membership, self.zone_failover
         self.recovery = recovery = self.adapters.recovery(ledger, membership, fleet)
-        if self.unavailable_load_guard is not None:  # keeps the times at which retries first arrived
+        if self.unavailable_load_guard is not None:  # copies the times at which retries first arrived
             recovery.history.local.queried.update(self.unavailable_load_guard.history.local.queried)
         self.gateway.notifications.load_guard = recovery.load_guard
         if fleet is not None and self.installation.file.sources:
--- a/cottonhold/node/standalone/engine_list.py
+++ b/cottonhold/node/standalone/engine_list.py
@@ -70,7 +70,7 @@
         return cores
 
     def listed(self) -> dict[str, Machine]:
-        """Return all engines of the list as machines, by id; quarantined ones don't count as capacity."""
+        """Return all engines of the list as machines, by id; quarantined ones are not in the capacity."""
         zone_names, live = self.zone_names(), self.quarantine.live_engines()
         return {
             engine_id: Machine(
--- a/cottonhold/node/standalone/operator_calls.py
+++ b/cottonhold/node/standalone/operator_calls.py
@@ -38,7 +38,7 @@
 
 
 class OperatorCalls:
-    """Answers calls for one instance; `has_metrics` tells whether its configuration enables metrics."""
+    """Answers calls for one instance; `has_metrics` states whether its configuration enables metrics."""
 
     def __init__(self, instance: Instance, has_metrics: bool) -> None:
         self.instance = instance
