--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -307,7 +307,7 @@
             return False
         earlier = self.forwarding_rounds.get(request.key)
         if earlier is not None and (earlier.owner != target or earlier.has_returned):
-            return False  # a previous owner still has earlier requests of the key
+            return False  # a previous owner still holds earlier requests of the key
         if isinstance(route, OwnedHere):
             request.is_opened = True
             self.router.on_request_opened(request.key, request.number)
@@ -348,7 +348,7 @@
         return hint if self.router.is_member(hint) else owner
 
     def _on_returned(self, request: KeyedRequest, did_not_run: bool = False) -> None:
-        """Remove a request from its forwarding round, as no other member has it any more."""
+        """Remove a request from its forwarding round, because no other member holds it any more."""
         request.owner = 0
         forwarding_round = self.forwarding_rounds[request.key]
         forwarding_round.open_count -= 1
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -284,7 +284,7 @@
         )
 
     async def finish_open_requests(self) -> None:
-        """Wait for responses to all requests, and then for clients to close, until the answer deadline.
+        """Wait for responses to all requests, and then, until the answer deadline, for clients to close.
 
         Closing a connection that still has unread bytes of its client would reset it and lose the last
         response.
--- a/cottonhold/node/sibling_processes.py
+++ b/cottonhold/node/sibling_processes.py
@@ -151,7 +151,7 @@
 
 
 def try_lock(file: int, operation: int) -> bool:
-    """Try to lock an open file; the lock lasts until it is closed. Return whether this succeeded.
+    """Try to lock an open file; the lock lasts until the file is closed. Return whether this succeeded.
 
     An error in locking is treated like a lock that another process holds.
     """
