--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -38,7 +38,7 @@
     """The execution of a request's load, from its first attempt to its end."""
 
     load: bytes  # identity of the load
-    is_begun: bool = False  # the history counts the load as sent
+    is_begun: bool = False  # the history has recorded the load as sent
     is_attempt_in_flight: bool = False
     is_closed: bool = False  # the client has the final response or has disconnected
 
@@ -130,7 +130,7 @@
     def _reject_unrecordable(self, request: ClientRequest, on_settled: LoadOutcomeCallback) -> bool:
         """Reject a request whose load can't be recorded or may not be sent now; return whether it did.
 
-        The history records a retry, and limits the time for which it is told to retry later.
+        The history records a retry, and limits how long its client is told to retry later.
         """
         can_record = self._check_disk() is DiskState.HEALTHY
         if can_record and (request.is_retry or self.may_send_loads()):
@@ -161,7 +161,7 @@
         self.execute(())
 
     def _on_queue_timeout(self, queued: QueuedRequest) -> None:
-        """Tell the client to retry later if its request is still queued at its deadline."""
+        """Answer that the client must retry later if its request is still queued at its deadline."""
         queue = self.queues.get(queued.request.ordering_key or "", deque())
         if queued in queue:
             queue.remove(queued)
@@ -183,8 +183,8 @@
     ) -> None:
         """Record an attempt, and call `on_recorded` once the record is durable.
 
-        The load counts as sent from this call on: an instance that queries it during the write must not get
-        the answer that it was never sent.
+        The history records the load as sent before the write: an instance that queries it during the write
+        must not get the answer that it was never sent.
         """
         now = self.now()
         run = self.runs.setdefault(client_request.request_id, LoadRun(identity_of(client_request)))
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -61,7 +61,7 @@
         """Return the number of keys and requests that still prevent this machine's removal."""
 
     def remaining_elsewhere(self) -> dict[str, int | None]:
-        """Return the same number for the other machines in replacement; None where it is not known here."""
+        """Return `remaining_here` of the other machines in replacement; None where it is not known here."""
 
     def move_keys(self, max_keys: int) -> None:
         """Move at most `max_keys` keys to other members."""
@@ -247,7 +247,8 @@
             )
         demand = self.fleet.demand
         is_shedding_load = demand is not None and demand.threshold is not None and demand.threshold.step > 0
-        # Load shedding is a separate reason: a draining engine may cause it and must not block itself by it.
+        # Load shedding is a separate reason, because a draining engine may cause it. The engine's own drain
+        # must not be blocked by it.
         coordinator.set_fleet_trouble(
             now, "sheds", "the fleet turns requests away" if is_shedding_load else ""
         )
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -284,7 +284,7 @@
         )
 
     async def finish_open_requests(self) -> None:
-        """Wait for responses to all requests, and then for clients to close, until the answer deadline.
+        """Wait for responses to all requests, and then, until the answer deadline, for clients to close.
 
         Closing a connection that still has unread bytes of its client would reset it and lose the last
         response.
@@ -340,7 +340,7 @@
         self.log.note("config_reloaded", classes=len(after), added=added, removed=removed)
 
     def begin_shutdown(self) -> None:
-        """Begin a shutdown; its deadlines count from this call, not from when `run` resumes."""
+        """Begin a shutdown; its deadlines are measured from this call, not from when `run` resumes."""
         max_deadline_ms = max(cls.deadline_ms for cls in self.gateway.settings.classes)
         self.lifecycle.begin_shutdown(self.event_loop.clock.now(), max_deadline_ms)
         self.shutdown_requested.set()
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -19,8 +19,8 @@
 # Time after the start of a drain during which queries are accepted. 4 s after the start of a drain, no open
 # request may be younger than 2 s.
 DRAIN_ACCEPT_QUERIES_MS = 1500.0
-# After SIGTERM, new connections arrive for 0.4 s, and requests on open connections for 0.2 s more.
-# Time after SIGTERM during which queries are accepted that may still run at SIGKILL; includes a busy loop's
+# After SIGTERM, new connections still arrive for 0.4 s, and requests on open connections for 0.2 s more.
+# Time after SIGTERM during which queries that may still run at SIGKILL are accepted; includes a busy loop's
 # lag.
 SHUTDOWN_ACCEPT_LONG_MS = 400.0
 SHUTDOWN_IDLE_CLOSE_MS = 600.0  # time after SIGTERM from which idle connections are closed
@@ -32,7 +32,7 @@
 
 
 class Phase(Enum):
-    """The phase of this process; operators and clients see the values."""
+    """The phase of this process; the values are shown to operators and clients."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -90,14 +90,18 @@
         return min(self.shutdown_since + SHUTDOWN_ACCEPT_CLIENTS_MS, self.close_deadline())
 
     def is_ready(self) -> bool:
-        """Return whether health checks succeed; true in a shutdown, as a newer process may serve already."""
+        """Return whether health checks succeed.
+
+        They fail in a drain, but not because of a shutdown, since a newer process may serve already.
+        """
         return self.draining_since == math.inf
 
     def accepts_query(self, now: float, deadline: float) -> bool:
         """Return whether a query that arrives now, with the given deadline, is accepted.
 
-        Queries that may still run at SIGKILL are accepted for SHUTDOWN_ACCEPT_LONG_MS only: queries that
-        arrive later than 0.7 s after SIGTERM have to be answered before SIGKILL.
+        Once SHUTDOWN_ACCEPT_LONG_MS have passed since SIGTERM, a query is accepted only if its deadline is
+        not after SIGKILL. If no deadline exceeds 3 s, this rejects only queries that arrive later than 0.7 s
+        after SIGTERM.
         """
         if now >= self.shutdown_since + SHUTDOWN_ACCEPT_LONG_MS and deadline > self.kill_deadline:
             return False
