--- a/cottonhold/discovery/consul/health_response.py
+++ b/cottonhold/discovery/consul/health_response.py
@@ -70,7 +70,8 @@
         self, names: ConfiguredNames, interpretation: EntryInterpretation, report_malformed: ReportMalformed
     ) -> None:
         self.names, self.interpretation, self.report_malformed = names, interpretation, report_malformed
-        self.engine_ids_by_digest: dict[bytes, str] = {}  # of the last response's entries
+        # Ids of the engines in the last response, by the digests of their entries.
+        self.engine_ids_by_digest: dict[bytes, str] = {}
         # Digest of the last response; empty if some of its entries couldn't be decoded.
         self.last_body_digest = b""
         # Whether a response has been decoded completely, so that engines missing in the next one are absent.
--- a/cottonhold/discovery/consul/http_exchange.py
+++ b/cottonhold/discovery/consul/http_exchange.py
@@ -11,7 +11,8 @@
 from cottonhold.message_validation import WireError
 
 MAX_HEADERS = 100
-MAX_HEADER_BYTES = 32 << 10  # also limits any other bytes between two parts of the body
+# Limits the headers, and also all other bytes that are received between two parts of the body.
+MAX_HEADER_BYTES = 32 << 10
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,13 +71,13 @@
         self.parser = httptools.HttpResponseParser(self)
         self.headers: dict[str, str] = {}
         self.header_bytes = 0
-        self.bytes_since_body = 0  # received since the body last grew
+        self.bytes_since_body = 0  # bytes received since the body last grew
         self.body = bytearray()
         self.decompressor: zlib._Decompress | None = None
         self.is_complete = self.is_connection_reusable = False
 
     def receive(self, data: bytes) -> HttpResponse | None:
-        """Parse received bytes; return the response once it is complete, before that None.
+        """Parse received bytes; return the response once it is complete, and None before.
 
         Raises:
             WireError: The response is malformed, too large or in an unsupported form.
@@ -152,5 +153,5 @@
             self.is_complete, self.is_connection_reusable = True, bool(self.parser.should_keep_alive())
 
     def _is_interim(self) -> bool:
-        """Whether this is an interim response (1xx), which a final one follows (RFC 9110, section 15.2)."""
+        """Return whether this is an interim response (1xx), which a final one follows (RFC 9110, 15.2)."""
         return 100 <= int(self.parser.get_status_code()) < 200
--- a/cottonhold/discovery/consul/registration.py
+++ b/cottonhold/discovery/consul/registration.py
@@ -17,9 +17,10 @@
 from cottonhold.discovery.consul.http_exchange import HttpRequest, HttpResponse
 from cottonhold.discovery.model import Address
 
-HEARTBEATS_PER_TTL = 3.0  # two in a row may be lost before Consul sets the check to critical
+HEARTBEATS_PER_TTL = 3.0  # Consul sets the check to critical only after three lost heartbeats in a row
 CALL_TIMEOUT_TTLS = 0.25  # timeout of a call as a fraction of the TTL, which leaves time for another call
-MIN_HEARTBEATS_WITHOUT_LAG = 2  # consecutive heartbeats before the check is passing again, against flapping
+# Number of consecutive heartbeats without lag before the check is set to passing again, to avoid flapping.
+MIN_HEARTBEATS_WITHOUT_LAG = 2
 UNKNOWN_CHECK_STATUSES = (404, 500)  # the agent's responses for an unknown check, depending on its version
 FIRST_RETRY_MS = 100.0
 MAX_DEREGISTRATION_ATTEMPTS = 3
@@ -85,7 +86,7 @@
             self.phase, self.failure_count = RegistrationPhase.DEREGISTERING, 0
 
     def is_finished(self) -> bool:
-        """Whether the dispatcher has been deregistered, or the attempts to do so have been given up."""
+        """Return whether the dispatcher has been deregistered, or the attempts to do so were given up."""
         return self.phase is RegistrationPhase.DEREGISTERED
 
     def next_request(self, lag_ms: float, open_requests: int) -> HttpRequest:
--- a/cottonhold/discovery/consul/watch.py
+++ b/cottonhold/discovery/consul/watch.py
@@ -1,9 +1,9 @@
 """Watches one service's health by blocking queries: builds requests and interprets responses. Pure.
 
 As Consul's documentation of blocking queries requires, the index is reset to 0 when it goes backwards, and an
-index of 0 is treated as 1. A response may take the wait time and a sixteenth of it longer. After any failure
-the next request doesn't block: changes made in the meantime must be received immediately, and the next agent
-may lag behind.
+index of 0 is treated as 1. Consul may delay a response for the wait time and a sixteenth more. After any
+failure the next request doesn't block, since changes made in the meantime must be received immediately and
+the next agent may lag behind.
 """
 
 from __future__ import annotations
@@ -18,9 +18,8 @@
 from cottonhold.discovery.model import Address, Event, SourceReport, SourceUnavailable
 from cottonhold.message_validation import WireError
 
-MAX_WAIT_JITTER = (
-    1 / 16
-)  # fraction of the wait that Consul adds at most, so that not all watchers wake together
+# Largest addition by Consul to the wait, as a fraction of the wait, so that not all watchers wake together.
+MAX_WAIT_JITTER = 1 / 16
 FORBIDDEN = 403
 TOO_MANY_REQUESTS = 429
 
@@ -80,9 +79,8 @@
     def __init__(self, settings: WatchSettings, decoder: HealthResponseDecoder, seed: int) -> None:
         self.settings, self.decoder = settings, decoder
         self.random = random.Random(f"{seed}/{settings.name}/watch")
-        self.wait_index = (
-            0  # the index of which the next query waits for a change; 0 to query without waiting
-        )
+        # The next query waits until the index differs from this one; with 0 it doesn't wait.
+        self.wait_index = 0
         self.last_index = 0  # the index of the last applied response
         self.agent_index = 0
         self.failure_count = 0
@@ -92,7 +90,7 @@
 
     @property
     def address(self) -> Address:
-        """The agent that the next request is sent to."""
+        """Return the address of the agent to which the next request is sent."""
         return self.settings.addresses[self.agent_index % len(self.settings.addresses)]
 
     def confirm_absence(self, absent_ids: tuple[str, ...]) -> None:
@@ -100,7 +98,7 @@
         self.unconfirmed_ids = absent_ids
 
     def next_request(self) -> HttpRequest:
-        """Return the next request: of the catalogue if there are ids to confirm, else of the health."""
+        """Return a catalogue request if there are absences to confirm, otherwise a health request."""
         return self._catalog_request() if self.unconfirmed_ids else self._health_request()
 
     def _catalog_request(self) -> HttpRequest:
--- a/cottonhold/discovery/damping.py
+++ b/cottonhold/discovery/damping.py
@@ -13,19 +13,27 @@
 
 from cottonhold.discovery.model import SourceGuard
 
-NEGLIGIBLE_COUNT = 0.05  # a smaller count would lengthen the quiet time by less than a thirtieth
-MAX_HISTORIES = 20_000  # engines tracked; the oldest are evicted, since ids that never return would add up
+# A smaller count that remains from earlier failures would lengthen the quiet time by less than 4%.
+NEGLIGIBLE_COUNT = 0.05
+# Largest number of engines tracked. The one whose last failure is oldest is evicted; otherwise histories of
+# ids that never return would accumulate.
+MAX_HISTORIES = 20_000
 
 
 @dataclass(slots=True)
 class DecayingCount:
-    """A count of failures that decays by half in each half-life. updated_at: in ms on the local clock."""
+    """A count of failures that decays by half in each half-life.
+
+    Attributes:
+        count: The count at the time of its last update.
+        updated_at: When the count was last updated, in ms on the local clock.
+    """
 
     count: float
     updated_at: float
 
     def value(self, now: float, half_life_ms: float) -> float:
-        """Return the count as decayed until now."""
+        """Return the count, decayed until now."""
         return float(self.count * 0.5 ** (max(now - self.updated_at, 0.0) / half_life_ms))
 
 
--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -142,7 +142,7 @@
         """Apply an initial engine list before any source has answered, as if every source had reported it."""
         for view in self.views.values():
             view.on_report(now, SourceReport(view.name, 0, tuple(observations), is_complete=True))
-            view.answer_count = 0  # the source's first own answer still counts as the first
+            view.answer_count = 0  # the source's own first answer is still treated as its first
             view.start_times.on_complete_answer(-math.inf)
         return self.step(now)
 
@@ -203,7 +203,7 @@
         log_events: list[Action],
         queue: list[str],
     ) -> None:
-        """Determine the state of one engine, and append to `queue` the engines that are affected by it."""
+        """Determine the state of one engine, and append the engines that this affects to `queue`."""
         claims, entry = self._claims(engine_id), self.published.get(engine_id)
         if not claims:
             if entry is not None:
@@ -249,7 +249,7 @@
         return EngineState.LIVE
 
     def _addresses_are_exclusive(self) -> bool:
-        """Whether an address may belong to one engine only; a single trusted source ensures that itself."""
+        """Return whether the catalog must ensure unique addresses, as a single trusted source does itself."""
         return len(self.views) > 1 or not all(view.guard.is_trusted for view in self.views.values())
 
     def _may_use_address(
--- a/cottonhold/discovery/event_stream.py
+++ b/cottonhold/discovery/event_stream.py
@@ -12,14 +12,18 @@
 from cottonhold.message_validation import NUMBER, WireError, read, read_mapped
 from cottonhold.observe.counters import Counters
 
-# Short enough to detect a silently broken link well within the 7 s in which a change must be received.
+# Longest wait of a poll, in ms. It is short so that a silently broken link is detected well within the 7 s in
+# which a change must be received.
 LONG_POLL_MS = 2000
-# The first poll of a connection is shorter: a new connection after a broken link may be dead as well, and a
-# change must be received within 2 s of the break, or of another process taking over.
+# Longest wait of the first poll of a connection, in ms. It is shorter because a new connection after a broken
+# link may be dead as well, and a change must be received within 2 s after the break or after another process
+# has taken over.
 FIRST_POLL_MS = 500
-# The link is regarded as dead if an answer begins later than this after the poll's time, or pauses as long.
+# The link is regarded as dead if an answer begins later than this after the end of the poll's wait, or if no
+# byte is received for this time within an answer.
 FIRST_BYTE_TIMEOUT_MS = 1000.0
-MAX_ANSWER_MS = 4000.0  # from the deadline of an answer's first byte to its end, even if it never pauses
+# Longest time from the deadline of an answer's first byte to its last byte, even if it never pauses.
+MAX_ANSWER_MS = 4000.0
 MAX_ANSWER_BYTES = 4 << 20
 STATUS_BY_LIFECYCLE = {
     "Ready": ServiceStatus.IN_SERVICE,
@@ -127,7 +131,7 @@
             True,
             False,
         )
-        # If answers are slow, a short poll might never be answered: the poll after it is long.
+        # If answers are slow, a short poll might never be answered, so the next poll is long.
         self.max_poll_ms = LONG_POLL_MS if self.is_short_poll_unanswered else FIRST_POLL_MS
         self.is_short_poll_unanswered = False
 
--- a/cottonhold/discovery/model.py
+++ b/cottonhold/discovery/model.py
@@ -41,7 +41,7 @@
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
     def is_ip_address(self) -> bool:
-        """Whether the host is an IP address, so that no DNS lookup is needed."""
+        """Return whether the host is an IP address, which needs no DNS lookup."""
         try:
             ipaddress.ip_address(self.host)
         except ValueError:
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineListChange:
-    """The engines' new states.
+    """A change of the engine list, with the new states of engines.
 
     Attributes:
         engines: The complete engine list, or only the engines that changed.
--- a/cottonhold/discovery/quarantine.py
+++ b/cottonhold/discovery/quarantine.py
@@ -27,7 +27,7 @@
         self.started_at: dict[str, float] = {}
 
     def on_change(self, change: EngineListChange) -> EngineListChange:
-        """Return a change of the engine list as it is to be published."""
+        """Return the change to publish for a change of the catalog's engine list."""
         if change.is_complete:
             self.listed.clear()
         for engine in change.engines:
--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -56,9 +56,9 @@
         self.start_times = StartTimes(unix_offset)
         self.damping = FlapDamping(guard, random.Random(f"{seed}/{name}"))
         self.claims: dict[str, Claim] = {}
-        self.return_times: dict[str, float] = {}  # by engine: when its quiet time ends
+        self.return_times: dict[str, float] = {}  # end of the quiet time, by engine
         self.deferred_losses: dict[str, Claim] = {}
-        self.past_starts: dict[str, PastStart] = {}  # of removed engines
+        self.past_starts: dict[str, PastStart] = {}  # by id of a removed engine
         self.in_service_count = 0  # engines whose last applied observation is IN_SERVICE
         self.unhealthy_count = 0  # engines whose last applied observation is in LOSSES
         self.index, self.answer_count, self.last_answer_at = 0, 0, 0.0
@@ -203,7 +203,7 @@
         self.changed_engines.add(observation.id)
 
     def _is_same_process(self, claim: Claim, observation: Observation) -> bool:
-        """Whether the observation can be of the process that served last."""
+        """Return whether the observation can be of the process that served last."""
         if claim.process_id and observation.process_id:
             return claim.process_id == observation.process_id and claim.address == observation.address
         # An engine list from the configuration has no registration indexes (0): compare the address only.
@@ -342,7 +342,7 @@
     def _apply_deferred_losses(self, now: float) -> bool:
         """Apply all deferred losses if enough engines remain in service; return whether any remain deferred.
 
-        Healthy engines in their quiet time receive no queries, so they don't count as in service.
+        Healthy engines in their quiet time receive no queries, so they aren't counted as in service.
         """
         listed = self.in_service_count + self.unhealthy_count + len(self.deferred_losses)
         remaining = self.in_service_count - len(self.return_times)
--- a/cottonhold/discovery/start_times.py
+++ b/cottonhold/discovery/start_times.py
@@ -19,7 +19,7 @@
 MAX_CLOCK_STEP_MS = 3_600_000.0  # the largest expected step of a wall clock
 USUAL_DELAY_MS = 5000.0  # the usual maximum time between a start and its report
 MAX_CLOCK_ERROR_MS = 2 * MAX_CLOCK_STEP_MS  # the largest expected error of the local wall clock
-MIN_START_MS = 1.0  # a start of 0 would mean "long ago, without a stamp"
+MIN_START_MS = 1.0  # earliest start returned, since 0 would mean "long ago, without a stamp"
 
 
 class StartTimes:
@@ -33,7 +33,7 @@
 
     def __init__(self, unix_offset_ms: float) -> None:
         self.max_offset_ms, self.min_offset_ms = unix_offset_ms, unix_offset_ms - MAX_CLOCK_ERROR_MS
-        self.learned_offset_ms = -math.inf  # the largest difference of a stamp and the time of its receipt
+        self.learned_offset_ms = -math.inf  # largest difference between a stamp and its receipt
         self.complete_at = -math.inf  # when a complete list was last received
 
     def learn(self, now: float, stamps: Iterable[float]) -> None:
--- a/cottonhold/membership/codec.py
+++ b/cottonhold/membership/codec.py
@@ -30,7 +30,7 @@
 UPDATE = struct.Struct("!BQQ")
 MAC_BYTES = 12
 MAX_NAME_BYTES = 32
-# Number of datagrams by which one may be overtaken; larger than the number sent together in one full sync.
+# Number of later datagrams after which a late one is rejected; larger than the number sent in one full sync.
 REPLAY_WINDOW = 256
 MAX_TRACKED_SESSIONS = 4096
 
@@ -52,11 +52,11 @@
     NACK = 4
     SYNC = 5  # part of the sender's member table; the receiver replies with part of its own
     SYNC_REPLY = 6
-    LEASE_REQUEST = 7  # for all LEASE kinds, the sequence is the term and the subject the lease number
+    LEASE_REQUEST = 7  # for all LEASE kinds, `sequence` is the term and `subject` the lease number
     LEASE_RELEASE = 8
     LEASE_GRANT = 9
     LEASE_DENY = 10
-    DUTY_DONE = 11  # a run of a duty's subject is complete; the sequence is a detail that the duty defines
+    DUTY_DONE = 11  # a run of a duty's subject is complete; `sequence` is a detail that the duty defines
     FLEET = 12  # a message of the package `fleet`; its payload takes the place of the updates
 
 
@@ -230,7 +230,12 @@
         return update_capacity(bool(self.key_ring.keys))
 
     def encode(self, message: Message, updates: bytes) -> bytes:
-        """Encode a datagram. updates: the encoded updates, or the payload of a FLEET message."""
+        """Encode a datagram.
+
+        Args:
+            message: The message.
+            updates: The encoded updates, or the payload of a FLEET message.
+        """
         key_id = self.key_ring.send_key_id if self.key_ring.keys else 0
         self.datagram_count = (self.datagram_count + 1) & 0xFFFFFFFF
         data = b"".join(
--- a/cottonhold/membership/duties.py
+++ b/cottonhold/membership/duties.py
@@ -145,8 +145,8 @@
         self.tasks: dict[DutySubject, Task] = {}
         self.leases = LeaseManager(self_id, voters, leases, now, first_term)
         self.subject_by_lease: dict[int, DutySubject] = {}
-        self.lease_expiry: dict[DutySubject, float] = {}  # of the leases that this instance holds
-        self.run_queue: list[tuple[float, DutySubject]] = []  # a heap
+        self.lease_expiry: dict[DutySubject, float] = {}  # by subject whose lease this instance holds
+        self.run_queue: list[tuple[float, DutySubject]] = []  # a heap, ordered by the time of the run
         self.last_epoch = 0
         self.actions: list[Action] = []
 
@@ -223,7 +223,7 @@
         return self.assignments[key[0]].holder(key[1]) == self.self_id
 
     def _on_assignment(self, now: float, key: DutySubject) -> None:
-        """Begin or end this instance's assignment after a change of the member that a subject belongs to."""
+        """Begin or end this instance's assignment after a subject was assigned to another member."""
         if self.duties[key[0]].guarantee is Guarantee.AT_MOST_ONCE:
             return  # `_claim_leases` requests a lease, and the assignment begins when it is granted
         if not self._is_assigned(key):
@@ -292,8 +292,8 @@
                 duty.guarantee is Guarantee.AT_MOST_ONCE
                 and self._remaining_lease_ms(now, key) < duty.max_run_ms
             ):
-                # A run that outlives its lease could overlap with one of the next holder. Try again soon: a
-                # renewal extends the lease.
+                # A run that outlives its lease could overlap with a run of the next holder. Try again soon,
+                # since a renewal extends the lease.
                 task.next_run_at = now + duty.max_run_ms / 4
                 heapq.heappush(self.run_queue, (task.next_run_at, key))
                 continue
--- a/cottonhold/membership/instance.py
+++ b/cottonhold/membership/instance.py
@@ -20,7 +20,14 @@
 
 @dataclass(slots=True, frozen=True)
 class DutyDone:
-    """Another instance completed a run of a duty's subject. detail: 32 bits that the duty defines."""
+    """Another instance completed a run of a duty's subject.
+
+    Attributes:
+        duty: The name of the duty.
+        subject: The subject.
+        member: The id of the instance that completed the run.
+        detail: 32 bits that the duty defines.
+    """
 
     duty: str
     subject: str
@@ -37,7 +44,7 @@
 
 
 Action = SendDatagram | MemberChanged | RunDuty | StopDuty | DutyDone | FleetMessageReceived
-# Probe intervals after the start until duties are assigned: time for two attempts to reach a seed.
+# Number of probe intervals from the start until duties are assigned, enough for two attempts to reach a seed.
 SETTLING_INTERVALS = 3.0
 
 
--- a/cottonhold/membership/leases.py
+++ b/cottonhold/membership/leases.py
@@ -95,7 +95,13 @@
 
 @dataclass(slots=True)
 class Grant:
-    """A voter's grant of a lease. expires_at: in ms on the voter's clock."""
+    """A voter's grant of a lease.
+
+    Attributes:
+        holder: The id of the member that holds the lease.
+        term: The term of the request that was granted.
+        expires_at: When the grant expires, in ms on the voter's clock.
+    """
 
     holder: int
     term: int
@@ -140,7 +146,7 @@
     ) -> None:
         self.self_id, self.voters, self.settings = self_id, tuple(sorted(set(voters))), settings
         self.majority = len(self.voters) // 2 + 1
-        # Grants of a previous incarnation, which are lost, may be valid until then.
+        # Grants that a previous incarnation gave, and that are lost, may be valid until this time.
         self.first_grant_at = now + settings.duration_ms * (1 + settings.max_clock_drift)
         self.grants: dict[int, Grant] = {}
         self.claims: dict[int, LeaseClaim] = {}
@@ -206,7 +212,7 @@
 
     def _on_reply(self, now: float, sender: int, reply: LeaseReply) -> None:
         claim = self.claims.get(reply.duty)
-        # A reply to an earlier term belongs to a grant that began earlier than the current request.
+        # A grant under an earlier term began before the current request, from which the lease is measured.
         if claim is None or claim.term != reply.term or sender not in self.voters:
             return
         if not reply.is_granted:
--- a/cottonhold/membership/member.py
+++ b/cottonhold/membership/member.py
@@ -33,7 +33,7 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether the member is alive or suspected."""
+        """Return whether the member is alive or suspected."""
         return self.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
     def as_update(self, source: int) -> Update:
--- a/cottonhold/membership/suspicion.py
+++ b/cottonhold/membership/suspicion.py
@@ -71,7 +71,7 @@
         heapq.heappush(self._heap, (ends_at, member))
 
     def has(self, member: int, ends_at: float) -> bool:
-        """Whether there is an entry for this member and time."""
+        """Return whether there is an entry for this member and time."""
         return (ends_at, member) in self._heap
 
     def next_at(self) -> float:
--- a/cottonhold/membership/swim.py
+++ b/cottonhold/membership/swim.py
@@ -116,7 +116,7 @@
         self._table = MemberTable(self.id, settings, self.random, self._updates, self._on_member_changed)
         self.members = self._table.members
         self._probe: Probe | None = None
-        self._relays: dict[int, Relay] = {}  # by the sequence of the ping that this instance sent
+        self._relays: dict[int, Relay] = {}  # by the sequence of this instance's ping
         self._sequence = itertools.count(self.random.getrandbits(16))
         self.awareness = 0  # Lifeguard's local health multiplier; 0 if healthy
         self._next_probe_at = self._next_sync_at = self._next_step_at = -math.inf
@@ -281,13 +281,13 @@
             case MessageKind.SYNC:
                 self._send_table(event.address, MessageKind.SYNC_REPLY)
             case MessageKind.SYNC_REPLY:
-                pass  # contains nothing but updates
+                pass  # a reply contains only updates, which have been applied
             case _:
                 self._actions.append(MessageReceived(message))
 
     def _on_ping(self, message: Message, address: Address) -> None:
         if message.subject != self.id:
-            # Meant for another process that had this address; an ack would make it look alive.
+            # The ping is meant for another process that had this address; an ack would make it look alive.
             self._count("misdirected")
             return
         if not self._is_leaving:
@@ -299,7 +299,7 @@
             return
         sequence = self._next_sequence()
         self._relays[sequence] = Relay(message.sequence, address)
-        while len(self._relays) > MAX_RELAYS:  # those that were never acked are removed by newer ones
+        while len(self._relays) > MAX_RELAYS:  # relays without an ack are removed, the oldest first
             del self._relays[next(iter(self._relays))]
         self._send(MessageKind.PING, sequence, target.address, target.id)
         # The nack proves to the requester that its own link works; an ack follows if the target replies.
@@ -355,7 +355,7 @@
     def _send(
         self, kind: MessageKind, sequence: int, address: Address, subject: int, receiver: int | None = None
     ) -> None:
-        """Send a message with updates. receiver: the member at the address, if it isn't the subject."""
+        """Send a message with updates. `receiver` is the member at the address if it isn't the subject."""
         updates = self._next_updates(subject if receiver is None else receiver)
         message = Message(kind, self.id, sequence, subject)
         self._actions.append(SendDatagram(self.codec.encode(message, updates), address))
--- a/cottonhold/membership/swim_settings.py
+++ b/cottonhold/membership/swim_settings.py
@@ -27,8 +27,8 @@
         max_sync_datagrams: Largest number of datagrams in which a full sync sends the table.
         retention_ms: Time for which dead and departed members are kept, in ms; longer than any replay or late
             update takes to arrive.
-        stall_threshold_ms: If a step is later than this, in ms, this instance did not run for a while, so
-            that the time-outs which expired meanwhile prove nothing.
+        stall_threshold_ms: Delay of a step, in ms, above which this instance is assumed not to have run for a
+            while. The time-outs that expired during that time prove nothing.
         uses_lifeguard: Whether the Lifeguard extensions are used.
     """
 
--- a/cottonhold/store/health.py
+++ b/cottonhold/store/health.py
@@ -9,7 +9,7 @@
 
 
 class Completeness(Enum):
-    """Whether a ledger's content is known to be complete."""
+    """The completeness of a ledger's content, as far as it is known."""
 
     UNKNOWN = "empty"  # records may have been lost, so a missing load may still have been sent
     COMPLETE = "kept"
--- a/cottonhold/store/ledger.py
+++ b/cottonhold/store/ledger.py
@@ -30,7 +30,7 @@
 # The VFS of ledgers that are opened without one. Fault-injection tests set one that simulates disk failures.
 DEFAULT_VFS = ""
 MAX_BACKOFF_FACTOR = 16.0  # longest time between recovery attempts, as a multiple of the retry interval
-OnWritten = Callable[[bool], None]  # called with whether the records are durable
+OnWritten = Callable[[bool], None]  # its argument is true if the records are durable
 
 
 @dataclass(slots=True, frozen=True)
@@ -154,7 +154,11 @@
         self.put([COMPLETE_MARK], on_written)
 
     def health(self, now_ms: float) -> DiskHealth:
-        """Return the state of the disk. now_ms: the time on the ledger's monotonic clock."""
+        """Return the state of the disk.
+
+        Args:
+            now_ms: The time on the ledger's monotonic clock, in ms.
+        """
         with self._lock:
             return self._health(now_ms)
 
@@ -188,7 +192,7 @@
             self.folder.close()
 
     def _run(self) -> None:
-        """Write queued records and recover from failures until the ledger is closed; the writer's thread."""
+        """Write queued records and recover from failures until the ledger is closed; the thread's target."""
         while True:
             with self._lock:
                 if not self._queue and not self._is_closing:
--- a/cottonhold/store/ledger_folder.py
+++ b/cottonhold/store/ledger_folder.py
@@ -36,7 +36,7 @@
         self.completeness, self.reason = Completeness.UNKNOWN, ""
         self.closed_cleanly = False  # whether the previous boot was closed cleanly
         self.damaged_files = 0  # number of files set aside by `open`
-        self.records: dict[RecordKind, dict[bytes, bytes]] = {}  # as they were when the folder was opened
+        self.records: dict[RecordKind, dict[bytes, bytes]] = {}  # the records when the folder was opened
         self.record_file: RecordFile | None = None
         self._lock_descriptor = -1
 
@@ -200,7 +200,7 @@
 
 
 def _was_closed_cleanly(boot_file: BootFile | None) -> bool:
-    """Whether the last boot was closed with all its transactions durable.
+    """Return whether the last boot was closed with all its transactions durable.
 
     After any other end, the content that is read may be in the kernel's cache only. If a sync of the last
     boot had failed, it may never reach the disk, and all that is appended to the log would be lost with it.
--- a/cottonhold/store/record_file.py
+++ b/cottonhold/store/record_file.py
@@ -64,7 +64,7 @@
     checkpoint_pages: int = 400
 
 
-# The number of the row's kind, which may be unknown to this version of the program, and the row's key.
+# The number of the row's kind, which this version of the program may not know, and the row's key.
 RowKey = tuple[int, bytes]
 Rows = dict[RowKey, bytes]
 
@@ -126,7 +126,7 @@
     ) -> RecordFile:
         """Create a file with these rows; the file and its name are durable on return.
 
-        If that fails, all of it is removed, since it would use the last space on a full disk.
+        If that fails, the partial files are removed, since they would use the last space on a full disk.
         """
         for old in (path, log_path(path)):
             files.remove(old)
@@ -237,7 +237,7 @@
 
     @property
     def is_checkpoint_due(self) -> bool:
-        """Whether a checkpoint is needed, before the log grows beyond its fixed size."""
+        """Return whether a checkpoint is due, which must come before the log exceeds its fixed size."""
         return self.log_pages >= self.sizes.checkpoint_pages
 
     def close(self) -> None:
--- a/cottonhold/store/records.py
+++ b/cottonhold/store/records.py
@@ -116,10 +116,10 @@
 class LoadState(IntEnum):
     """The state of a load. The numbers are part of the file format."""
 
-    SENT = 0  # it may have run; its end isn't known
+    SENT = 0  # the load may have run; its end isn't known
     COMPLETED = 1  # the engine reported success
     FAILED = 2  # the engine reported an error
-    NEVER_SENT = 3  # no byte of it was sent
+    NEVER_SENT = 3  # no byte of the load was sent to an engine
 
 
 _LOAD = struct.Struct("<BBQdd")
@@ -157,7 +157,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the load's end isn't known."""
+        """Return whether the load's end isn't known."""
         return self.state is LoadState.SENT
 
     def encode(self) -> bytes:
@@ -336,7 +336,7 @@
     max_records: int = MAX_RECORDS[RecordKind.LOAD],
     free_slots: int = 1,
 ) -> Eviction:
-    """Select the loads to evict so that `free_slots` more fit within `max_records`.
+    """Select the loads to evict so that `free_slots` further loads fit within `max_records`.
 
     A load of this boot expires one retention time after its end. Loads of other boots expire one retention
     time after this boot's start, when their clients have stopped retrying, whenever they ended. If more slots
@@ -371,7 +371,7 @@
 def evict_records(
     kind: RecordKind, ages_ms: Mapping[bytes, float], *, free_slots: int = 1, max_records: int = 0
 ) -> Eviction:
-    """Select the records of a kind to evict so that `free_slots` more fit.
+    """Select the records of a kind to evict so that `free_slots` further records fit.
 
     Hints are evicted in the order of their age, the oldest first. Authoritative records are only removed by
     their owners, so `is_full` is set if they leave too few free slots.
@@ -379,7 +379,7 @@
     Args:
         kind: The kind of the records.
         ages_ms: The age of each record by its key, in ms.
-        free_slots: How many more records must fit.
+        free_slots: The number of further records that must fit.
         max_records: The largest number of records; 0 for the kind's default.
     """
     surplus = max(0, len(ages_ms) + free_slots - (max_records or MAX_RECORDS[kind]))
