--- a/cottonhold/emulator/admission_policies.py
+++ b/cottonhold/emulator/admission_policies.py
@@ -17,7 +17,7 @@
         self.share, self.has_timeouts = 1.0, False
 
     def on_admitted(self, wait: float, is_timed_out: bool) -> None:
-        """Record timeouts."""
+        """Record that a request timed out; ignore requests that were sent."""
         self.has_timeouts = self.has_timeouts or is_timed_out
 
     def step(self, now: float, instance: Instance) -> None:
--- a/cottonhold/emulator/consul/catalog.py
+++ b/cottonhold/emulator/consul/catalog.py
@@ -1,7 +1,8 @@
-"""A model of Consul's catalogue: nodes, services and checks under one growing index, without any sockets.
+"""A model of Consul's catalogue: nodes, services and checks, with one index that each change increases.
 
-From the published pages on the agent's service, check and maintenance endpoints, the catalogue and health
-endpoints, and blocking queries. Times are seconds on the caller's clock.
+It uses no sockets. It follows Consul's published documentation of the agent's service, check and maintenance
+endpoints, the catalogue and health endpoints, and blocking queries. Times are in seconds on the caller's
+clock.
 """
 
 from __future__ import annotations
@@ -37,12 +38,12 @@
         self.nodes: dict[str, Node] = {}
         self.services: dict[tuple[str, str], Service] = {}  # by node and id
         self.checks: dict[tuple[str, str], Check] = {}  # by node and id
-        self.indexes: dict[str, int] = {}  # by service: the index of the last change that its health shows
+        self.indexes: dict[str, int] = {}  # index of the last change in a service's health, by its name
         self.on_changed: Callable[[], None] = lambda: None
         self.put_node(agent, "127.0.0.1")
 
     def put_node(self, name: str, address: str, meta: dict[str, str] | None = None) -> None:
-        """Add a node with its gossip check, or change it."""
+        """Add a node with its gossip check, or change the address and meta fields of an existing node."""
         node = self.nodes.get(name)
         index = self._next_index(*self._services_on(name))
         if node is None:
@@ -61,7 +62,7 @@
             node.meta = node.meta if meta is None else meta
 
     def put_service(self, node: str, body: Json) -> Service:
-        """Register an instance, or change the one with its id. Raises ApiError."""
+        """Register an instance, or replace the registered one with the same id. Raises ApiError."""
         name = body.get("Name") or body.get("Service")
         if not isinstance(name, str) or not name:
             raise ApiError(400, "Missing service name")
@@ -107,7 +108,7 @@
         self._next_index(*services)
 
     def put_check(self, node: str, body: Json, service: Service | None = None) -> Check:
-        """Register a check. Raises ApiError."""
+        """Register a check of the node or of a service. Raises ApiError."""
         ttl_s = parse_duration(body["TTL"]) if body.get("TTL") else 0.0
         name = body.get("Name") or (f"Service '{service.name}' check" if service else "")
         check_id = body.get("CheckID") or body.get("ID") or (f"service:{service.id}" if service else name)
@@ -153,12 +154,12 @@
         if check.ttl_s:
             check.expires_at = self.now() + check.ttl_s
         if (new_status, output) == (check.status, check.output):
-            return  # Consul does not sync an unchanged status, so no blocking query returns
+            return  # as in Consul, where an unchanged status ends no blocking query
         check.set_status(self.now(), new_status, output)
         self._modify(check)
 
     def set_maintenance(self, node: str, is_on: bool, reason: str, service_id: str = "") -> None:
-        """Set or end the maintenance of an instance, or of the node. Raises ApiError."""
+        """Turn the maintenance mode of an instance, or of the node, on or off. Raises ApiError."""
         if service_id and (node, service_id) not in self.services:
             raise ApiError(404, f'Unknown service ID "{service_id}"')
         check_id = f"_service_maintenance:{service_id}" if service_id else "_node_maintenance"
@@ -177,7 +178,7 @@
             self.remove_check(node, check_id)
 
     def expire(self) -> float:
-        """Expire TTLs, and remove services that were critical for too long; return when to call it again."""
+        """Expire TTLs, remove services that were critical for too long; return when the next call is due."""
         now = self.now()
         for check in list(self.checks.values()):
             if check.expires_at <= now:
@@ -265,7 +266,7 @@
         return self.index
 
     def _modify(self, check: Check) -> None:
-        """Record the change of a check."""
+        """Increase the index after a change of a check, and record the index in the check."""
         services = [check.service_name] if check.service_id else self._services_on(check.node)
         check.modify_index = self._next_index(*services)
 
--- a/cottonhold/emulator/consul/entries.py
+++ b/cottonhold/emulator/consul/entries.py
@@ -1,4 +1,4 @@
-"""Entries of Consul's catalogue: nodes, services and checks. Times are seconds on the caller's clock."""
+"""Entries of Consul's catalogue: nodes, services and checks. Times are in seconds on the caller's clock."""
 
 from __future__ import annotations
 
--- a/cottonhold/emulator/consul/faults.py
+++ b/cottonhold/emulator/consul/faults.py
@@ -27,7 +27,7 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self._active: dict[FaultKind, tuple[float, tuple[str, ...]]] = {}  # end and arguments
+        self._active: dict[FaultKind, tuple[float, tuple[str, ...]]] = {}  # time of the end, and arguments
 
     def start(self, kind: FaultKind, duration_s: float, arguments: tuple[str, ...]) -> None:
         """Activate a fault."""
--- a/cottonhold/emulator/consul/http.py
+++ b/cottonhold/emulator/consul/http.py
@@ -40,7 +40,7 @@
         "DeregisterCriticalServiceAfter",
     ]
 }
-USER_DEFINED = ("Meta", "NodeMeta")  # whose keys are the users' own
+USER_DEFINED = ("Meta", "NodeMeta")  # objects whose keys users choose, so their case is kept
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/emulator/consul/server.py
+++ b/cottonhold/emulator/consul/server.py
@@ -33,7 +33,7 @@
 DEFAULT_WAIT, MAX_WAIT_S = "300s", 600.0
 MAX_EXPIRY_INTERVAL_S, MIN_EXPIRY_INTERVAL_S = 0.25, 0.01
 MIN_WAIT_S = 0.001
-WAIT_JITTER = 1 / 16  # share of the wait that Consul adds as jitter
+WAIT_JITTER = 1 / 16  # largest random addition to a wait, as a share of the wait
 MAX_PAST_RESPONSES, MAX_CALLS = 2000, 10_000
 
 
@@ -48,7 +48,7 @@
 
 
 class Server(Listener):
-    """One agent of one datacentre; `calls` contains the time, method and URL of each call."""
+    """One agent of one datacentre; `calls` contains the time, method and URL of the last MAX_CALLS calls."""
 
     expected_errors = (*Listener.expected_errors, httptools.HttpParserError)
 
@@ -63,7 +63,7 @@
         self.faults = ActiveFaults(self.now)
         self.calls: list[tuple[float, str, str]] = []
         self._past_responses: deque[PastResponse] = deque(maxlen=MAX_PAST_RESPONSES)
-        self._cached_bodies: dict[str, tuple[int, bytes]] = {}  # by query: index and body
+        self._cached_bodies: dict[str, tuple[int, bytes]] = {}  # index and body, by query
 
     def now(self) -> float:
         """Return the seconds since the start."""
@@ -84,7 +84,7 @@
             await asyncio.sleep(min(delay_s, MAX_EXPIRY_INTERVAL_S))
 
     def play(self, steps: list[Step]) -> None:
-        """Run a script, with its times relative to now."""
+        """Run a script in the background; its times are relative to the call."""
         self.spawn(self._play(steps, self.now()))
 
     async def _play(self, steps: list[Step], started_at: float) -> None:
@@ -125,7 +125,7 @@
                 self.is_token_revoked = False
 
     def add_engine(self, service_id: str, address: str, service: str = "engine", **meta: str) -> None:
-        """Register an instance with a check, as an engine's agent does."""
+        """Register an instance with a passing check, as the agent of an engine does."""
         host, _, port = address.rpartition(":")
         body = {"ID": service_id, "Name": service, "Address": host, "Port": int(port), "Meta": meta}
         entry = self.catalog.put_service(self.catalog.agent, body)
@@ -192,7 +192,7 @@
         return json_response(agent_query(self.catalog, path[1:], self._has_leader()))
 
     async def _read(self, path: list[str], query: dict[str, str]) -> Response:
-        """Return the response to a query, which may be blocking."""
+        """Return the response to a query of a health or catalogue endpoint, which may be a blocking query."""
         if query.get("dc", self.catalog.datacenter) != self.catalog.datacenter:
             raise ApiError(500, "No path to datacenter")
         await self._wait_for_change(path, query)
@@ -218,7 +218,7 @@
         return Response(200, body, headers)
 
     async def _wait_for_change(self, path: list[str], query: dict[str, str]) -> None:
-        """Wait until the index exceeds a blocking query's, its wait ends, or a fault interrupts it."""
+        """Wait until the index differs from a blocking query's, its wait ends, or a fault interrupts it."""
         known_index = int(query.get("index") or 0)
         wait_s = min(parse_duration(query.get("wait") or DEFAULT_WAIT), MAX_WAIT_S)
         deadline = self.now() + wait_s + self.draw.random() * wait_s * WAIT_JITTER
@@ -235,7 +235,7 @@
                 self.waiting.discard(future)
 
     def _response_before(self, endpoint: str, at: float) -> PastResponse | None:
-        """Return the last response of an endpoint up to a time."""
+        """Return the last response of an endpoint at or before a time; None if there is none."""
         earlier = [past for past in self._past_responses if past.endpoint == endpoint and past.at <= at]
         return earlier[-1] if earlier else None
 
--- a/cottonhold/emulator/engine_replacement.py
+++ b/cottonhold/emulator/engine_replacement.py
@@ -1,8 +1,8 @@
-"""A model of a rolling replacement of engines in virtual time, with dispatchers that send, drain and restart.
+"""A model of a rolling replacement of engines in virtual time, with dispatchers that drain them and restart.
 
 It adds engines and requests to the model of rolling_replacement.py. All requests are loads, since other
-queries may be retried. A load runs until it ends, its dispatcher dies, or its engine is powered off, which
-operators do after they are notified that the engine is out. Times are in ms.
+queries may be retried. A load runs until it ends, its dispatcher dies, or its engine is powered off.
+Operators power an engine off after they are notified that it is out of service. Times are in ms.
 """
 
 from __future__ import annotations
@@ -36,17 +36,17 @@
 SETTINGS = DrainSettings()
 ENGINE_COUNT = 3
 LIVENESS_CHECK_MS = 15.0
-REQUEST_END_PROBABILITY = 0.35  # chance per tick that requests at an engine end
+REQUEST_END_PROBABILITY = 0.35  # probability per tick that up to two requests end
 WARMUP_MS = 1500.0  # time until a new engine receives its full share of the traffic
 WARMING_SHARE = 0.3
 MAX_DUPLICATE_DELAY_MS = 3000.0  # maximum delay of the duplicate of a drain report
-RESTART_NOTICE_MS = 15_000.0  # time until operators notice that an engine they restarted is still out
+RESTART_NOTICE_MS = 15_000.0  # time until operators see that an engine they restarted is still out
 FINAL_CHECK_TICKS = 100
 
 
 @dataclass(slots=True, eq=False)
 class Engine:
-    """An engine, with its running requests by the dispatcher that sent them and its incarnation."""
+    """An engine, with the number of its running requests by dispatcher and the dispatcher's incarnation."""
 
     name: str
     zone: str
@@ -59,12 +59,12 @@
 
 @dataclass(slots=True, eq=False)
 class EngineView:
-    """A dispatcher process's state of engines and their drains."""
+    """The state of engines and their drains in one dispatcher process."""
 
     drains: EngineDrains
     startup_gate: StartupGate
     withheld: set[str] = field(default_factory=set)
-    is_waiting: bool = True  # no requests are sent until the gate opens
+    is_waiting: bool = True  # no requests are sent until the startup gate opens
 
     def on_report(self, now: float, data: bytes) -> None:
         """Process another dispatcher's drain report."""
@@ -72,7 +72,7 @@
 
 
 class EngineInvariants(ReplacementInvariants):
-    """The invariants of replaced engines, in addition to those of dispatchers."""
+    """Checks the invariants of replaced engines, in addition to those of replaced dispatchers."""
 
     fleet: EngineWorld
 
@@ -95,20 +95,20 @@
         self.notify_listeners(machine, record)
 
     def _check_idle(self, machine: str) -> None:
-        """Check that no request of a live dispatcher runs at an engine that is taken out."""
+        """Check that no request of a live dispatcher runs at an engine that is taken out of service."""
         for (name, incarnation), count in self.fleet.engines[machine].in_flight.items():
             host = self.fleet.hosts[name]
             if count and host.is_up and host.incarnation == incarnation:
                 self.breach(f"{machine} is OUT with {count} requests of {name}")
 
     def _check_replaced(self, machine: str, record: MachineRecord) -> None:
-        """Check that a new engine is up if a record reports that the replacement has arrived."""
+        """Check that the new engine is up, since the record reports that the replacement has arrived."""
         engine = self.fleet.engines.get(record.replacement)
         if engine is None or not engine.is_up or engine.started_at <= 0:
             self.breach(f"{machine} is IN_PLACE, and nobody has put a new one there")
 
     def check_at_end(self, *names: str) -> None:
-        """Check that the replacements of these engines have ended and that the engines get requests."""
+        """Check that the replacements of these engines have ended, and that the engines receive requests."""
         fleet = self.fleet
         received = {name: engine.received for name, engine in fleet.engines.items()}
         fleet.run(fleet.now + FINAL_CHECK_TICKS * TICK_MS)
@@ -120,7 +120,7 @@
             serving = record.replacement if record.step is ReplacementStep.DONE else name
             serving = serving if serving in fleet.listed else record.replacement
             if serving in fleet.engines and fleet.engines[serving].received == received.get(serving, 0):
-                self.breach(f"{serving} gets nothing after the end")
+                self.breach(f"{serving} receives no requests after the end")
 
 
 class EngineWorld(ReplacementWorld):
@@ -144,8 +144,8 @@
         self.engines = {f"x{i}": Engine(f"x{i}", "abc"[i]) for i in range(ENGINE_COUNT)}
         self.listed = dict(self.engines)
         self.views: dict[str, EngineView] = {}
-        self.started_at: dict[str, float] = {}  # by host
-        self.broken_links: set[tuple[str, str]] = set()  # host and engine
+        self.started_at: dict[str, float] = {}  # start of the process, by host
+        self.broken_links: set[tuple[str, str]] = set()  # pairs of host and engine
         self.power_off_delay_ms, self.hardware_delay_ms = power_off_delay_ms, hardware_delay_ms
         super().__init__(seed, host_count, network_faults)
 
@@ -190,7 +190,7 @@
         self._send_requests(host)
 
     def _engine_records(self, host: Host) -> Mapping[str, MachineRecord]:
-        """Return the records of engines that a host knows."""
+        """Return the records of engines in a host's view of the registers."""
         assert host.coordinator is not None
         records = host.coordinator.view.records
         return {n: r for n, r in records.items() if r.has_flag(MachineFlag.ENGINE)}
@@ -213,7 +213,7 @@
                 self._send_report(action)
 
     def _known_incarnations(self, host: Host) -> dict[int, int]:
-        """Return the incarnations of live members as a host knows them, which is late after a restart."""
+        """Return the incarnations of the live members in a host's view, which shows restarts with a delay."""
         return {
             machine_id(other.name): (
                 other.incarnation - (self.now - self.started_at[other.name] < JOIN_NOTICE_MS)
@@ -288,7 +288,7 @@
                 name, incarnation = key
                 host = self.hosts[name]
                 if not host.is_up or host.incarnation != incarnation:
-                    del engine.in_flight[key]  # its connections are closed
+                    del engine.in_flight[key]  # the dispatcher's connections were closed with its process
                 elif self.draw.random() < REQUEST_END_PROBABILITY:
                     engine.in_flight[key] = max(engine.in_flight[key] - 2, 0)
         super()._tick()
@@ -300,20 +300,20 @@
         self.call_at(self.now + self.power_off_delay_ms, lambda: self._power_off_engine(name))
 
     def _power_off_engine(self, name: str) -> None:
-        """Power an engine off if it is still out, and start the new one in its place later."""
+        """Power an engine off if it is still out of service, and start its replacement later."""
         record, engine = self.record(name), self.engines[name]
         if record is None or record.step is not ReplacementStep.OUT or record.has_flag(MachineFlag.ABORTING):
             self.power_off_ordered.discard(name)
             return
         if running := sum(engine.in_flight.values()):
-            self.invariants.breach(f"{running} requests break as {name} is powered off")
+            self.invariants.breach(f"{running} requests fail because {name} is powered off")
         engine.is_up = False
         engine.in_flight.clear()
         arrival_at = self.now + self.hardware_delay_ms
         self.call_at(arrival_at, lambda: self._place_engine(engine, record.replacement))
 
     def _restart_if_undetected(self, name: str) -> None:
-        """Restart an engine again, as operators do, if no dispatcher has noticed its restart."""
+        """Restart an engine a second time, as operators do, if no dispatcher has detected its restart."""
         record, engine = self.record(name), self.engines[name]
         if record is None or record.step is not ReplacementStep.OUT or not engine.is_up:
             return
--- a/cottonhold/emulator/engine_replacement_cases.py
+++ b/cottonhold/emulator/engine_replacement_cases.py
@@ -1,6 +1,6 @@
 """Fault cases of replacing engines, each a whole run of the model, and defects that the model has to detect.
 
-Times are ms.
+Times are in ms.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.plan import MachineRecord, MachineRequest, ReplacementStep
 
-WATCHED_ENGINE = "x0"  # faults occur when its replacement reaches a step
+WATCHED_ENGINE = "x0"  # the engine whose replacement triggers a fault at a given step
 REQUESTS = (MachineRequest("x0"), MachineRequest("x1", "y1"), MachineRequest("x2", cores=16.0))
 ENGINES = tuple(request.machine for request in REQUESTS)
 LOSSY_NETWORK = NetworkFaults(loss=0.3, duplication=0.3, max_delay_ms=150.0)
@@ -105,7 +105,7 @@
 
 
 def abort(world: EngineWorld) -> None:
-    """Abort the watched engine's replacement, as an operator, at a host that knows of it."""
+    """Abort the watched engine's replacement, as an operator, at the first host that has its record."""
     for host in world.hosts.values():
         coordinator = host.coordinator
         if coordinator is None or not world.is_running(host):
--- a/cottonhold/emulator/replacement_fleet.py
+++ b/cottonhold/emulator/replacement_fleet.py
@@ -1,6 +1,6 @@
 """The state of a simulated fleet during a rolling replacement: its hosts, their links and its registers.
 
-A register is one true value and its version. Times are ms.
+A register is one true value and its version. Times are in ms.
 """
 
 from __future__ import annotations
@@ -97,10 +97,10 @@
             f"d{i}": Host(f"d{i}", ZONES[i % len(ZONES)], 8.0, sticky_keys=INITIAL_STICKY_KEYS)
             for i in range(host_count)
         }
-        self.partitions: dict[str, int] = {}  # by host
+        self.partitions: dict[str, int] = {}  # number of the partition, by host
         self.links: dict[tuple[str, str], Link] = {}
-        self.zone_troubles: dict[str, tuple[str, float]] = {}  # by zone: description, and time of its start
-        self.registers: dict[str, tuple[int, bytes]] = {}  # by name: version and value
+        self.zone_troubles: dict[str, tuple[str, float]] = {}  # description and begin, by zone
+        self.registers: dict[str, tuple[int, bytes]] = {}  # version and value, by name
 
     @property
     def now(self) -> float:
--- a/cottonhold/emulator/replacement_invariants.py
+++ b/cottonhold/emulator/replacement_invariants.py
@@ -15,7 +15,7 @@
 from cottonhold.fleet.rolling_replacement.plan_codec import decode_plan, decode_record
 
 ZONE_NOTICE_MS = 500.0  # time after which every host knows of a zone's problem
-CHECKED_TICKS = 40  # of voters that were up
+CHECKED_TICKS = 40  # number of recent ticks whose running voters are checked
 
 RecordListener = Callable[[str, MachineRecord], None]
 
@@ -32,9 +32,9 @@
         self.takeover_times_ms: list[float] = []
         self.steps_seen: dict[str, list[ReplacementStep]] = {}
         self.record_listeners: list[RecordListener] = []
-        self._newest_effects: dict[str, tuple[int, str]] = {}  # by machine: epoch and acting host
-        self._driverless_since: dict[str, float] = {}  # by machine
-        self._voters_up: list[tuple[float, frozenset[str]]] = []  # at each tick
+        self._newest_effects: dict[str, tuple[int, str]] = {}  # epoch and acting host, by machine
+        self._driverless_since: dict[str, float] = {}  # since when no driver runs, by machine
+        self._voters_up: list[tuple[float, frozenset[str]]] = []  # time and running voters of each tick
 
     def breach(self, what: str) -> None:
         """Record the violation of an invariant."""
@@ -111,7 +111,7 @@
         """Check that a majority of the voters stays up when a machine is taken out."""
         out = {m for m, r in self._records().items() if r is not None and r.step is ReplacementStep.OUT}
         out.add(machine)
-        # The driver cannot know of a fault that occurred just before.
+        # The driver cannot have detected a fault that occurred just before.
         known_since = self.fleet.now - 1.5 * DEATH_NOTICE_MS
         remaining = [len(up - out) for at, up in self._voters_up[-CHECKED_TICKS:] if at > known_since]
         if remaining and max(remaining) <= self.fleet.host_count // 2:
--- a/cottonhold/emulator/replacement_registers.py
+++ b/cottonhold/emulator/replacement_registers.py
@@ -1,6 +1,6 @@
 """Operations on the simulated registers, which may be delayed, lost or executed twice at random.
 
-An operation succeeds if its host reaches a majority of the voters at that moment. Times are ms.
+An operation succeeds if its host reaches a majority of the voters at that moment. Times are in ms.
 """
 
 from __future__ import annotations
--- a/cottonhold/emulator/rolling_replacement.py
+++ b/cottonhold/emulator/rolling_replacement.py
@@ -1,7 +1,8 @@
 """A model of a rolling replacement in virtual time: dispatchers whose registers need a majority, and faults.
 
-The coordinators are real. Sticky keys and open requests are only counted. Operators power a machine off after
-they are notified that it is ready. The seed determines the whole run. Times are in ms.
+The coordinators are the real ones. Of sticky keys and open requests the model has only the numbers. Operators
+power a machine off after they are notified that it is ready. The seed determines the whole run. Times are in
+ms.
 """
 
 from __future__ import annotations
@@ -78,7 +79,7 @@
         self.replacement_cores = dict(replacement_cores or {})
         self.invariants = self.make_invariants()
         self.register_operations = RegisterOperations(self, self.invariants)
-        self.removed_hosts: set[str] = set()  # powered off until they are replaced
+        self.removed_hosts: set[str] = set()  # hosts that are powered off until they are replaced
         self.power_off_ordered: set[str] = set()
         self.answers: list[RequestAnswered] = []
         self.logged_steps: list[tuple[float, str, LogStep]] = []
@@ -130,7 +131,7 @@
             self._start_coordinator(host)
 
     def pause(self, name: str, duration_ms: float) -> None:
-        """Pause a process for some time; it then runs a step before it receives what arrived meanwhile."""
+        """Pause a process; it then runs a step before it receives what arrived during the pause."""
         host, incarnation = self.hosts[name], self.hosts[name].incarnation
         host.paused_until = self.now + duration_ms
 
@@ -153,12 +154,12 @@
             self.call_at(started_at, lambda name=name: self.start(name))  # type: ignore[misc]
 
     def partition(self, *sizes: int) -> None:
-        """Split the hosts into groups of these sizes; without sizes, heal the partition."""
+        """Partition the network into groups of hosts of these sizes; without sizes, heal the partition."""
         groups = [i for i, size in enumerate(sizes) for _ in range(size)]
         self.partitions = dict(zip(self.hosts, groups, strict=False))
 
     def set_zone_trouble(self, zone: str, trouble: str) -> None:
-        """Report a problem of a zone to all hosts; an empty text means that it is over."""
+        """Report a problem of a zone to all hosts, or its end if the text is empty."""
         if trouble:
             self.zone_troubles[zone] = trouble, self.now
         else:
@@ -188,7 +189,7 @@
 
     def _update_links(self) -> None:
         if not self.now:
-            return  # at the start no host has seen another yet
+            return  # at the start no host has detected another yet
         for host, other in itertools.permutations(self.hosts.values(), 2):
             is_connected = self.is_running(other) and self.are_connected(host.name, other.name)
             if is_connected != self._is_linked(host, other):
@@ -199,7 +200,10 @@
         return link is not None and link.is_connected
 
     def _update_load(self, host: Host) -> None:
-        """Draw a host's open requests, and whether a host without keys leaves the membership table."""
+        """Draw a host's open requests, and whether it leaves the membership table.
+
+        A host leaves the table only while its process is down, or after it is drained and has no keys.
+        """
         if host.is_drained or self.draw.random() < 0.3:
             host.open_requests = (
                 max(host.open_requests - 1, 0) if host.is_drained else self.draw.randint(0, 4)
@@ -276,7 +280,7 @@
             target.sticky_keys += count
 
     def _power_off(self, machine: str) -> None:
-        """Power a machine off, as operators do, and start the new one in its place later."""
+        """Power a machine off, as operators do, and start its replacement later."""
         record = self.record(machine)
         if machine in self.power_off_ordered or record is None or record.step is not ReplacementStep.OUT:
             return
--- a/cottonhold/emulator/rolling_replacement_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -1,6 +1,6 @@
 """Fault cases of a rolling replacement, each a whole run of the model; shared by tests and benchmarks.
 
-Times are ms.
+Times are in ms.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     ReplacementStep.IN_PLACE,
     ReplacementStep.RAMPING,
 )
-WATCHED_MACHINE = "d3"  # faults occur when its replacement reaches a step
+WATCHED_MACHINE = "d3"  # the machine whose replacement triggers a fault at a given step
 MAX_RUN_MS = 240_000.0
 MAX_TAKEOVER_MS = 2000.0
 LOSSY_NETWORK = NetworkFaults(loss=0.3, duplication=0.3, max_delay_ms=150.0)
@@ -67,7 +67,7 @@
     """Run to the end of the replacement, and check the final state."""
     world.run_until(lambda: bool(world.answers), 30_000.0)
     if any(answer.rejection for answer in world.answers):
-        # The request could not be answered in time, so the client retries.
+        # The request was rejected since it could not be answered in time, so the client retries it.
         max_concurrent = world.answers[0].request.max_concurrent
         world.answers.clear()
         retry_host = "d1" if world.hosts["d1"].is_up else "d2"
@@ -96,7 +96,7 @@
     takeovers = world.invariants.takeover_times_ms
     slow = [time_ms for time_ms in takeovers if time_ms > MAX_TAKEOVER_MS]
     if slow and checks_takeovers:
-        world.invariants.breach(f"take-overs in {slow} ms")
+        world.invariants.breach(f"slow takeovers: {slow} ms")
     return CaseResult(world.invariants.breaches, takeovers, world.now)
 
 
