--- a/cottonhold/emulator/credit_account.py
+++ b/cottonhold/emulator/credit_account.py
@@ -6,7 +6,7 @@
 
 from cottonhold.fleet.engine_bounds import EngineBounds
 
-MAX_CREDIT_MS = 250.0  # time for which unused credits of a bound accumulate
+MAX_CREDIT_MS = 250.0  # longest time for which unused credits of a bound accumulate
 ROTATION_INTERVAL_MS = 2000.0
 GOLDEN_RATIO = 0.6180339887  # its multiples modulo 1 spread instances evenly
 PLASTIC_RATIO = 0.7548  # its multiples modulo 1 spread engines evenly
--- a/cottonhold/emulator/fault_injection/clients.py
+++ b/cottonhold/emulator/fault_injection/clients.py
@@ -34,11 +34,11 @@
 RETRY_AFTER = re.compile(r"cooldown=(\d+)")
 DATA_SETS_PER_ZONE = 7
 MAX_IDLE_CONNECTIONS = 64
-MAX_IDLE_S = 2.0  # well below the 5 s after which an instance closes idle connections
+MAX_IDLE_S = 2.0  # longest idle time of a session; instances close connections after 5 s without use
 LATE_RESPONSE_S = 0.5  # a response up to this long after the client's timeout is still accepted
-MIN_TIMEOUT_MS = 20.0  # a client gives up when less time than this remains
+MIN_TIMEOUT_MS = 20.0  # a client gives up when less of its patience than this remains
 BROKEN_INSTANCE_S = 3.0  # time after a broken connection until the load balancer uses the instance again
-DRAIN_S = 2.0  # wait for open requests at the end, on top of the longest patience
+DRAIN_S = 2.0  # wait for open requests at the end, in addition to the longest patience
 MAX_LOGGED_TEXT = 80
 
 
@@ -112,7 +112,7 @@
     def __init__(self, load: Load, log: TextIOWrapper) -> None:
         self.load, self.log, self.random = load, log, random.Random(load.seed)
         self.idle_sessions: dict[int, list[Session]] = {i: [] for i in range(len(load.instance_ports))}
-        self.failed_at: dict[int, float] = {}  # by instance, as the load balancer observed it
+        self.failed_at: dict[int, float] = {}  # when the load balancer observed a failure, by instance
         self.request_numbers, self.client_numbers = itertools.count(1), itertools.count(1)
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -139,7 +139,7 @@
         behaviour = self.load.behaviour
         obeys_retry_after = self.random.random() < behaviour.retry_after_share
         deadline = time.monotonic() + client.request_class.patience_ms / 1000
-        unreached: set[int] = set()  # instances that a client with a zone does not try again
+        unreached: set[int] = set()  # instances that a client with a zone does not use again
         for attempts in itertools.count(1):
             timeout_ms = (deadline - time.monotonic()) * 1000
             if timeout_ms < MIN_TIMEOUT_MS:
@@ -227,7 +227,6 @@
         """Send a client's request to an instance, log how the attempt ended, and return its end and text.
 
         Args:
-            client: The client.
             attempts: Number of this attempt, from 1.
             timeout_ms: How long the client waits for a response, in ms.
             instance: Number of the instance.
--- a/cottonhold/emulator/fault_injection/engine.py
+++ b/cottonhold/emulator/fault_injection/engine.py
@@ -66,7 +66,7 @@
         self.random, self.started_at = random.Random(seed), time.monotonic()
         self.running: dict[tuple[int, bytes], Job] = {}
         self.waiting: deque[Job] = deque()
-        self.recent_work: deque[tuple[float, float]] = deque()  # time of arrival, and work in ms
+        self.recent_work: deque[tuple[float, float]] = deque()  # arrival time, and work in ms
         self.is_overloaded = False  # never reset
         self.data_sets = DataSetCache()
 
--- a/cottonhold/emulator/fault_injection/event_log.py
+++ b/cottonhold/emulator/fault_injection/event_log.py
@@ -16,12 +16,12 @@
 from cottonhold.emulator.fault_injection.script import Scenario
 
 LogLine = list[Any]  # [seconds, event, request id, details...]
-BIN_S = 0.5  # step of the time series
+BIN_S = 0.5  # length of a step of the time series
 REQUEST_ENDS = frozenset(RequestEnd)
 
 
 class MarkVerb(StrEnum):
-    """What the harness did or observed; the values are the words in a run's result."""
+    """Kinds of actions and observations of the harness; the values are the words in a run's result."""
 
     KILL = "kill"
     START = "start"
@@ -38,7 +38,7 @@
 
 
 class Mark(NamedTuple):
-    """What the harness did to a process or observed about it; a run's result contains marks as arrays.
+    """An action or observation of the harness about a process; a run's result contains marks as arrays.
 
     Attributes:
         at: Time of the monotonic clock, in s.
--- a/cottonhold/emulator/fault_injection/executions.py
+++ b/cottonhold/emulator/fault_injection/executions.py
@@ -119,7 +119,7 @@
     """Return a finding for each execution that began while another load of its key ran."""
     findings = []
     for key, rows in _executions_by_key(works).items():
-        last: tuple[Execution, LoadHistory] | None = None  # the one that ends last of those that began
+        last: tuple[Execution, LoadHistory] | None = None  # ends last of all that began
         for execution, work in rows:
             if last is not None and last[1] is not work and execution.began_at < last[0].ended_at:
                 where = f"{last[0].engine} and {execution.engine}"
@@ -135,7 +135,7 @@
     """Return a finding for each load that began after a load of its key that was requested after its end."""
     findings = []
     for key, rows in _executions_by_key(works).items():
-        last: LoadHistory | None = None  # the one that was requested last of those that began
+        last: LoadHistory | None = None  # requested last of all loads that began
         for _, work in rows:
             if last is not None and work.notified_at < last.requested_at:
                 findings.append(
--- a/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
+++ b/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
@@ -17,7 +17,7 @@
 TRAITS = {
     "tip": 1000.0,
     "tip_window": 1500.0,
-    "datasets": 14,  # the data sets of two zones; there are 21 in all
+    "datasets": 14,  # enough for the data sets of two zones; three zones have 21
     "set_cold": 1.8,
     "set_ms": 3000.0,
 }
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -107,7 +107,7 @@
         self.link_lines: list[LogLine] = []
         self.timeline: list[str] = []
         self.projected_costs: dict[str, Any] = {}
-        self.started_at = 0.0  # when the load began
+        self.started_at = 0.0  # time at which the load began
 
     async def play(self) -> RunResult:
         """Play the whole scenario, check it, and write its result.
@@ -180,7 +180,7 @@
                 raise ScenarioRunError(f"{name} did not start: {(self.folder / f'{name}.log').read_text()}")
 
     async def _start_clients(self) -> None:
-        self.started_at = time.monotonic() + CLIENT_START_S  # an estimate until the clients have started
+        self.started_at = time.monotonic() + CLIENT_START_S  # estimated until they have started
         clients = self.processes.start_clients(self.client_settings())
         assert clients.stdout is not None
         await asyncio.to_thread(clients.stdout.readline)
--- a/cottonhold/emulator/fault_injection/links.py
+++ b/cottonhold/emulator/fault_injection/links.py
@@ -244,7 +244,7 @@
             if on_end is not None:
                 on_end()
             await pending.put((0.0, b""))
-            await asyncio.Event().wait()  # the writer ends the copy once all is written
+            await asyncio.Event().wait()  # the end of the writer ends the copy
 
         async def write() -> None:
             while (chunk := await pending.get())[1]:
@@ -348,7 +348,7 @@
             return
         for _ in range(2 if self.random.random() < path.duplicate_share else 1):
             delay_ms = path.transfer_ms(self.random, len(data))
-            if delay_ms > 0:  # jitter may reorder datagrams
+            if delay_ms > 0:  # jitter may change the order of datagrams
                 loop = asyncio.get_running_loop()
                 loop.call_later(delay_ms / 1000, self._send, sender, receiver, data)
             else:
--- a/cottonhold/emulator/fault_injection/power_loss_run.py
+++ b/cottonhold/emulator/fault_injection/power_loss_run.py
@@ -32,11 +32,14 @@
 RESULT_FILE = "cuts.json"
 CLIENT_TIMEOUT_S = 5.0
 LOAD_RETENTION_S = 2 * CLIENT_TIMEOUT_S + 10.0  # how long instances remember a load
-SERVING_TIMEOUT_S = 60.0  # timeout until loads are served again, on a shared machine
-MIN_TIMEOUT_MS = 1400.0  # attempts with a shorter timeout may fail because the machine is busy
-MAX_SEND_DELAY_S = 0.3  # an attempt sent later than this after its begin is no finding
-FINAL_PHASE_S = 120.0  # at the end of a scenario, without power losses
-SETTLE_S = LOAD_RETENTION_S + 4.0  # until load records are complete, and retried loads are forgotten
+SERVING_TIMEOUT_S = 60.0  # how long loads may fail after a restart, on a machine that other programs use too
+# Unanswered attempts are findings only with at least this timeout, since a busy machine may delay the others,
+# and only if the request was written within this time after the attempt began.
+MIN_TIMEOUT_MS = 1400.0
+MAX_SEND_DELAY_S = 0.3
+FINAL_PHASE_S = 120.0  # time without power losses at the end of a scenario
+# Time until load records are complete, and the loads that clients retried are no longer remembered.
+SETTLE_S = LOAD_RETENTION_S + 4.0
 LOG_POLL_INTERVAL_S = 0.1
 STALL_CHECK_INTERVAL_S, MIN_STALL_S = 0.05, 0.25
 
@@ -159,10 +162,10 @@
         self.power_loss_times: list[float] = []
         self.power_losses: list[PowerLoss] = []
         self.findings: list[str] = []
-        self.recovery_times_s: list[float] = []  # from each restart until loads began at engines again
+        self.recovery_times_s: list[float] = []  # time from a restart until loads began at engines
         self.unanswered_count = 0
         self.stalls: list[tuple[float, float]] = []
-        self._bytes_read: dict[str, int] = {}  # by the name of the log
+        self._bytes_read: dict[str, int] = {}  # by name of the log
 
     async def run(self, count: int) -> PowerLossRunResult:
         """Run `count` power losses, or as many as the duration allows; write and return the result.
@@ -309,7 +312,7 @@
     async def _wait_for_moment(
         self, power_loss: PowerLoss, restart: asyncio.Task[None], restarted_at: float
     ) -> None:
-        """Wait until the moment of a power loss; stall the disks before it if it asks for that."""
+        """Wait until the moment of a power loss; save the backup and stall the disks before, if specified."""
         names = self._instances_up()
         if power_loss.moment is PowerLossMoment.RECOVERY:
             await self._wait_until_one_is_up(names)
--- a/cottonhold/emulator/fault_injection/power_loss_tally.py
+++ b/cottonhold/emulator/fault_injection/power_loss_tally.py
@@ -111,7 +111,7 @@
     def __init__(self) -> None:
         self.loads: dict[int, ObservedLoad] = {}
         self.attempts: dict[str, Attempt] = {}
-        self.received: dict[tuple[str, str], ObservedLoad] = {}  # at engines, by engine and request id
+        self.received: dict[tuple[str, str], ObservedLoad] = {}  # by receiving engine and request id
         self.running: dict[tuple[str, str], LoadExecution] = {}
         self.duplicates: list[int] = []  # loads that began twice, in the order of detection
 
@@ -228,11 +228,11 @@
 
 
 def timeline(load: ObservedLoad, started_at: float, marks: Iterable[tuple[float, str, str]]) -> list[str]:
-    """Return the events of a load as lines of text, including processes killed and started meanwhile.
+    """Return the events of a load as lines of text, including killed and started processes.
 
     Args:
         load: The load.
-        started_at: Time from which the printed times count.
+        started_at: Time that is subtracted from all printed times.
         marks: What the harness did to processes.
     """
     rows = [
--- a/cottonhold/emulator/fault_injection/power_losses.py
+++ b/cottonhold/emulator/fault_injection/power_losses.py
@@ -9,7 +9,8 @@
 
 # Probability that an instance is not restarted, and the largest number of restarts that it misses.
 ABSENCE_PROBABILITY, MAX_ABSENT_RETURNS = 0.12, 3
-BACKUP_PROBABILITY = 0.7  # of restoring a backup at a power loss that waits until all have settled
+# Probability that a backup is restored at a power loss that waits until all instances have settled.
+BACKUP_PROBABILITY = 0.7
 EMPTIED_PROBABILITY, COPY_PROBABILITY = 0.08, 0.15
 MAX_RETURNS_UNTIL_SETTLED = 2
 MAX_RETURNS_UNTIL_PUT_BACK = 4
@@ -36,7 +37,7 @@
     RECOVERY = "recovery"
 
 
-MOMENT_WEIGHTS = (4, 3, 1, 2)  # in the order of the members
+MOMENT_WEIGHTS = (4, 3, 1, 2)  # in the order of PowerLossMoment's members
 MAX_DELAY_S = {
     PowerLossMoment.ANY: 1.5,
     PowerLossMoment.FSYNC: 1.0,
@@ -106,7 +107,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Countdown:
-    """An instance, and the number of further power losses for which a condition of it lasts."""
+    """An instance in some condition, and the number of further power losses for which the condition lasts."""
 
     instance: str
     remaining: int
@@ -131,8 +132,8 @@
     def __init__(self, seed: int, instances: Sequence[str]) -> None:
         self.random, self.instances = random.Random(seed), tuple(instances)
         self.absent: dict[str, int] = {}  # remaining restarts that each absent instance misses
-        self.copy: Countdown | None = None  # a copied folder, until it is restored
-        self.wrong_folder: Countdown | None = None  # an emptied or old folder, until all have settled
+        self.copy: Countdown | None = None  # the instance with a copied folder, until it is restored
+        self.wrong_folder: Countdown | None = None  # the instance with an emptied or old folder
 
     def power_losses(self, count: int) -> Iterator[PowerLoss]:
         """Draw `count` power losses."""
--- a/cottonhold/emulator/fault_injection/processes.py
+++ b/cottonhold/emulator/fault_injection/processes.py
@@ -20,7 +20,8 @@
 from cottonhold.emulator.process_fleet import free_ports
 
 PACKAGE = "cottonhold.emulator.fault_injection"
-DUPLICATE_SUFFIX = "-twice"  # after the name of an instance: a second process on its state folder
+# Follows the name of an instance in the name of a second process on the same state folder.
+DUPLICATE_SUFFIX = "-twice"
 
 
 class ScenarioProcesses:
--- a/cottonhold/emulator/fault_injection/projection_check.py
+++ b/cottonhold/emulator/fault_injection/projection_check.py
@@ -24,12 +24,12 @@
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.zone_distances import zone_of
 
-BASELINE_FROM_S = 2.0  # begin of the baseline, after the start of the load; it ends at the fault
+BASELINE_FROM_S = 2.0  # time from the load's start to the begin of the baseline, which ends at the fault
 # One second after the fault, interrupted requests have been retried and the fleet has evacuated the zone. The
 # projection includes the work on cold data sets of the first five seconds.
 OBSERVED_FROM_S, OBSERVED_SPAN_S = 1.0, 5.0
-UTILITY_TOLERANCE = 0.05  # absolute
-RELATIVE_TOLERANCE = 0.25  # of the added latency and extra work, relative to the observed values
+UTILITY_TOLERANCE = 0.05  # largest difference in the served share of the utility
+RELATIVE_TOLERANCE = 0.25  # largest relative difference in the added latency and in the extra work
 TOLERANCES = {"worth": UTILITY_TOLERANCE, "added": RELATIVE_TOLERANCE, "extra": RELATIVE_TOLERANCE}
 MIN_DIVISOR = 1e-9
 FAILING_VERBS = {"power", "kill"}
--- a/cottonhold/emulator/fault_injection/recovery_quality.py
+++ b/cottonhold/emulator/fault_injection/recovery_quality.py
@@ -20,10 +20,11 @@
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.utility_figures import first_attempts, ratio, step_of
 
-REPORTED_SECONDS = 12  # seconds after the restart that have a figure each
-MIN_REQUESTS = 10  # of a class in one second, for an instance to be compared with others
-MIN_REQUESTS_OVERALL = 50  # of a class in the whole recovery, for an instance to be compared with others
-SETTLED_S = 3.0  # time after the last start, and after the engines are warm, until the recovery has ended
+REPORTED_SECONDS = 12  # number of seconds after the restart, each of which has its own figure
+# An instance is compared with others in a class only if it has at least this number of requests of the class:
+MIN_REQUESTS = 10  # in one second
+MIN_REQUESTS_OVERALL = 50  # in the whole recovery
+SETTLED_S = 3.0  # the recovery ends this long after the last start and after the engines are warm
 REPORTED_ENDS = (
     RequestEnd.REFUSED,
     RequestEnd.FAILED,
@@ -31,7 +32,7 @@
     RequestEnd.TIMED_OUT,
     RequestEnd.UNREACHED,
 )
-EndCounts = dict[tuple[str, int], dict[int, Counter[RequestEnd]]]  # by class and second, by instance
+EndCounts = dict[tuple[str, int], dict[int, Counter[RequestEnd]]]  # by class and second, then by instance
 
 
 def measure_recovery(history: RunHistory, verdict: Verdict) -> None:
@@ -39,8 +40,8 @@
 
     Figures:
         return_*: Utility served in a time span, as a share of the utility of all requests that clients first
-            sent in it, also while no instance was up. With the name of an end: number of attempts that ended
-            so.
+            sent in the span, also while no instance was up. If * is the name of an end: the number of
+            attempts with this end.
         return_*_of_most: Utility served, as a share of the most that the cold engines could have served.
         unlike_return: Largest difference between two instances in the share of equal requests that they
             served, over the whole recovery; `unlike_error` is its standard error.
@@ -98,7 +99,7 @@
 
     The classes with the highest utility per ms of work are served first, each request at any time within its
     patience. If each step were considered alone, requests that wait at the end of an outage and are served a
-    second later would count as impossible.
+    second later would be regarded as impossible to serve.
 
     Args:
         scenario: The scenario.
--- a/cottonhold/emulator/fault_injection/recovery_scenarios.py
+++ b/cottonhold/emulator/fault_injection/recovery_scenarios.py
@@ -13,7 +13,7 @@
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 POWER_LOSS_AT_S, POWER_RESTORED_AT_S = 6.0, 8.0
-START_INTERVAL_S = 0.5  # between the starts of two instances
+START_INTERVAL_S = 0.5  # time between the starts of two instances
 LOADS_AND_READS = (
     RequestClass("cheap", 0.5, 2000.0, 20.0),
     RequestClass("dear", 0.3, 2000.0, 20.0),
--- a/cottonhold/emulator/fault_injection/request_rules.py
+++ b/cottonhold/emulator/fault_injection/request_rules.py
@@ -20,13 +20,13 @@
 )
 
 RESPONSE_SLACK_S = 0.5  # tolerance for responses and announcements that are late on a busy machine
-INSTANCE_START_S = 3.0  # until a new process has received the engine list
-LINK_DELAY_S = 0.1  # between a cancel and its record on the link, when the harness is busy
-DISTURBANCE_LEAD_S = 1.0  # an instance that failed within this time before a request may not respond to it
-MIN_ORDER_GAP_S = 0.05  # loads sent closer together than this may arrive in either order
+INSTANCE_START_S = 3.0  # time until a new process has received the engine list
+LINK_DELAY_S = 0.1  # longest time between a cancel and its record on the link, when the harness is busy
+DISTURBANCE_LEAD_S = 1.0  # a request within this time after its instance failed may receive no response
+MIN_ORDER_GAP_S = 0.05  # loads that are sent with a shorter gap may arrive in either order
 # Engine statuses that mean that the load has not run and may be sent again.
 NOT_STARTED = ("overload", "nobody")
-# Marks from which on an instance does not receive announcements, and marks that end this.
+# An instance receives no announcements from a mark of the first kind until one of the second kind.
 UNREACHABLE_FROM = (MarkVerb.SOURCE_DISCONNECTED, MarkVerb.STOP, MarkVerb.KILL)
 REACHABLE_FROM = (MarkVerb.SOURCE_RECONNECTED, MarkVerb.CONTINUE, MarkVerb.START)
 
--- a/cottonhold/emulator/fault_injection/script.py
+++ b/cottonhold/emulator/fault_injection/script.py
@@ -41,7 +41,7 @@
 DISK_STATES = ("full", "failing", "stalled", "well")
 MAX_INSTANCES, MAX_ENGINES = 16, 64
 MAX_DURATION_S, MAX_REQUESTS_PER_S = 600, 5000
-MIN_VOTING_INSTANCES = 3  # two of them are a majority while the third is replaced
+MIN_VOTING_INSTANCES = 3  # smallest number of which a majority remains while one is replaced
 
 
 class ScriptError(Exception):
--- a/cottonhold/emulator/fault_injection/send_figures.py
+++ b/cottonhold/emulator/fault_injection/send_figures.py
@@ -10,8 +10,9 @@
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.zone_distances import zone_of
 
-MIN_REQUESTS = 100  # of a class at an instance, for the instance to be compared with others
-FULL_SHARE = 0.8  # of its usual share of sends, from which on a zone counts as fully recovered
+# An instance is compared with others in a class only if it has at least this number of requests of the class.
+MIN_REQUESTS = 100
+FULL_SHARE = 0.8  # a zone has fully recovered when it receives this fraction of its usual share of sends
 RETURN_WINDOW_S = 1.0  # time over which the share of a recovered zone is measured
 MIN_OUTAGE_S = 3.5  # shortest outage for which the share after its third second is measured
 
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -69,7 +69,7 @@
         return True, started_at + work_ms - now
 
     def queue_ms(self, now: float) -> float:
-        """Return how long a new attempt would wait, in ms, as an instance sees it."""
+        """Return how long a new attempt would wait according to an instance, in ms; 0 for a dead engine."""
         return max(self.busy_until - now, 0.0) if not self.is_dead else 0.0
 
 
--- a/cottonhold/emulator/lossy_disk.py
+++ b/cottonhold/emulator/lossy_disk.py
@@ -34,7 +34,7 @@
 
 STALL_POLL_INTERVAL_S = 0.01
 LEAK_PROBABILITY_AT_POWER_LOSS = 0.5
-COMPLETE_WRITE_PROBABILITY = 0.5  # chance that an unsynced write reaches the disk completely, if at all
+COMPLETE_WRITE_PROBABILITY = 0.5  # for an unsynced write that reaches the disk at all
 
 
 @dataclass(slots=True, frozen=True)
@@ -119,7 +119,7 @@
         self.control, self.orders = control, Orders()
         self.nodes: dict[Path, Node] = {}
         self.removed: set[Path] = set()
-        self.moves: list[tuple[Node, Path | None]] = []  # not durable yet; None: removed
+        self.moves: list[tuple[Node, Path | None]] = []  # not durable yet; None for a removal
         self.random = random.Random(0)
         self.lock = threading.RLock()
         self.is_off = False
@@ -129,7 +129,7 @@
         self._control_version: tuple[int, int] | None = None  # time and size of the control file
 
     def cut_power(self, draw: random.Random | None = None) -> None:
-        """Fail all later operations. With `draw`, some unsynced changes reach the disk before."""
+        """Fail all later operations. With `draw`, some unsynced changes reach the disk first."""
         self.is_off = True
         with self.lock:
             if draw is None:
@@ -232,7 +232,7 @@
         self.before_read(self.reads)
         self._update_orders()
         if self.orders.fail_read and self.random.random() < self.orders.fail_read:
-            raise OSError(errno.EIO, "a read failed as the control file says")
+            raise OSError(errno.EIO, "a read failed, as the control file specifies")
 
     def _start(self, operation: Operation) -> None:
         """Count an operation, which may stall or fail."""
@@ -249,10 +249,10 @@
         probability = self.orders.fail_write if operation is Operation.WRITE else self.orders.fail_sync
         can_fail = operation is not Operation.CHANGE_NAMES and probability
         if can_fail and self.random.random() < probability:
-            raise OSError(errno.EIO, f"a {operation} failed as the control file says")
+            raise OSError(errno.EIO, f"a {operation} failed, as the control file specifies")
 
     def _update_orders(self) -> None:
-        """Read the control file again if it has changed; a half-written one is skipped this time."""
+        """Read the control file again if it has changed; ignore it while it is invalid or half-written."""
         if self.control is None:
             return
         try:
@@ -300,7 +300,7 @@
 
     @staticmethod
     def make_move_durable(node: Node, target: Path | None) -> None:
-        """Move a file on the real disk; None: remove it there."""
+        """Move a file on the real disk, or remove it there if the new path is None."""
         if target is None:
             if node.is_durable:
                 node.durable_path.unlink(missing_ok=True)
--- a/cottonhold/emulator/model_checker.py
+++ b/cottonhold/emulator/model_checker.py
@@ -2,7 +2,7 @@
 
 A *model* consists of several machines, their disks and the network between them. Each of its `choices()` is
 a possible next event: a message is delivered (and may be delivered again), a record is written, a timer
-expires, a machine crashes, or a disk is lost. A message that is never delivered counts as lost.
+expires, a machine crashes, or a disk is lost. A message that is never delivered is lost.
 
 `explore` searches all choices of every state up to a depth, breadth first; states that are equal apart from
 clocks and random number generators are visited once, as in stateright. `walk` makes random choices to a much
@@ -89,7 +89,7 @@
     """
 
     tick_ms = 100.0
-    max_deliveries = 2  # how often a message may be delivered
+    max_deliveries = 2  # largest number of deliveries of one message
 
     def __init__(self, members: Iterable[int], crashes: int, disk_losses: int) -> None:
         self.now, self.remaining_crashes, self.remaining_disk_losses = 0.0, crashes, disk_losses
--- a/cottonhold/emulator/models.py
+++ b/cottonhold/emulator/models.py
@@ -33,7 +33,7 @@
         super().__init__((*VOTERS, NON_VOTING_PROPOSER), crashes, disk_losses)
         self.remaining_changes = {1: changes, NON_VOTING_PROPOSER: changes}
         self.settled_values: dict[int, bytes] = {}  # by version
-        self.requested: dict[int, tuple[int, bytes]] = {}  # by token: base version and value
+        self.requested: dict[int, tuple[int, bytes]] = {}  # base version and value, by token
         self.lost_values: set[bytes] = set()
         self.start_all()
 
@@ -129,8 +129,8 @@
     def __init__(self, crashes: int = 1, moves: int = 2, loads: int = 3, fences: int = 1) -> None:
         super().__init__(VOTERS, crashes, 0)
         self.remaining_moves, self.remaining_loads, self.remaining_fences = moves, loads, fences
-        self.open_loads: dict[bytes, tuple[int, int]] = {}  # by key: member and load
-        self.unknown_ends: dict[bytes, int] = {}  # by key: member whose crash left a load's end unknown
+        self.open_loads: dict[bytes, tuple[int, int]] = {}  # member and load, by key
+        self.unknown_ends: dict[bytes, int] = {}  # member whose crash left a load's end unknown, by key
         self.fenced_member = 0
         self.fence_known_by: set[int] = set()
         self.start_all()
@@ -160,7 +160,7 @@
         return choices
 
     def _may_start_load(self, member: int, key: bytes) -> bool:
-        """Return whether a member owns a key and has no open load of it."""
+        """Return whether a member owns a key and has no open load of the key."""
         open_load = self.open_loads.get(key)
         if open_load is not None and open_load[0] == member:
             return False
@@ -246,7 +246,7 @@
     model.settle(FINAL_SETTLING_TICKS)
     for key in model.keys:
         for machine in model.running.values():
-            machine.route(model.now, key)  # an owner takes over a key when it routes a request of it
+            machine.route(model.now, key)  # a key gets an owner when a request for it is routed
     model.settle(8)
     owner_counts = [model.owner_count(key) for key in model.keys]
     if model.violation or owner_counts == [1] * len(model.keys):
--- a/cottonhold/emulator/outage_log.py
+++ b/cottonhold/emulator/outage_log.py
@@ -7,7 +7,7 @@
 
 
 class RequestEvent(StrEnum):
-    """Events of a request, or of one run of it at an engine."""
+    """Events of a request, or of one of its runs at an engine."""
 
     ARRIVED = "came"
     RAN = "ran"
--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -26,13 +26,13 @@
 from cottonhold.fleet.zone_failover.zone_assessment import MIN_RETAINED_SHARE
 
 STEP_MS, LOAD_REPORT_INTERVAL_MS = 100.0, 250.0
-ANSWER_MARGIN_MS = 60.0  # time before its timeout at which a queued request is rejected
+ANSWER_MARGIN_MS = 60.0  # a queued request is rejected this long before its timeout
 FAILURE_DELAY_MS = 300.0  # time until a request at a failed engine is known to have failed
 MESSAGE_DELAY_MS = 2.0
-MAX_PREFERENCE_MS = 100.0  # queueing time after which a request may be sent to any idle engine
+MAX_PREFERENCE_MS = 100.0  # queueing time after which a request may be sent to any zone with an idle engine
 MAX_ZONE_CREDITS = 4.0
-MAX_BUDGET_REQUESTS = 4  # maximum of unused requests in the budget of a partly evacuated zone
-MIN_IN_FLIGHT = 2  # requests at an engine or on the way to it that are always permitted
+MAX_BUDGET_REQUESTS = 4  # largest unused budget of a partly evacuated zone, in requests
+MIN_IN_FLIGHT = 2  # number of requests that may always be at an engine or on the way to it
 
 
 class Instance:
@@ -169,11 +169,11 @@
         self.budgets: dict[
             str, tuple[float, float]
         ] = {}  # by zone: work that may be sent, and time of the last update
-        # By instance: factor by which it overstates its demand; it also reports all data sets as cached.
+        # Factors by which instances overstate their demand; these also report all data sets as cached.
         self.claim_factors: dict[int, float] = {}
         homes = [zone for zone in self.zones for _ in range(setup.instances)]
         self.instances = [self.make_instance(number, home) for number, home in enumerate(homes)]
-        for server in self.servers:  # caches hold data sets of the zone's own clients
+        for server in self.servers:  # at first, caches hold data sets of the zone's own clients
             for data_set in self._data_sets(server.zone):
                 server.use(data_set, setup.cached_data_sets)
         for zone in self.zones:
--- a/cottonhold/emulator/outages_in_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -1,8 +1,9 @@
 """A model of zone outages in virtual time in which the fleet's real coordinator decides.
 
-The world, its clients and its engines are those of outages.py. Each instance runs a coordinator: it sees by
-its own attempts what is lost, evacuates zones by votes, and sends within its bounds, to the least
-loaded of a few engines drawn by them, as the scheduler does.
+The world, its clients and its engines are those of outages.py. Each instance runs a coordinator, which
+detects faults by the instance's own attempts, evacuates zones by votes, and sets bounds for the engines. As
+the scheduler does, the instance sends each request to the least loaded of a few engines that it draws with
+these bounds as weights.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.settings import FleetSettings
 
-CANDIDATE_ENGINES = 8  # engines that the scheduler compares
-EJECTION_MS = 2000.0  # of an engine that failed
+CANDIDATE_ENGINES = 8  # number of engines that the scheduler compares
+EJECTION_MS = 2000.0  # time without requests for an engine that failed
 CHECK_INTERVAL_MS = 500.0
 MIN_CANDIDATE_WEIGHT = 0.05
 QUERY_CLASS = 0
@@ -48,8 +49,8 @@
         self.demand = self.fleet.demand
         self.estimator = self.fleet.failover_cost or self.estimator
         self.credits = CreditAccount(number)
-        self.ejected_until = dict[int, float]()  # by server
-        self.attempts = dict[int, tuple[str, float]]()  # in flight, by id(request): its id, time of sending
+        self.ejected_until = dict[int, float]()  # by number of the server
+        self.attempts = dict[int, tuple[str, float]]()  # request id and time of sending, by id(request)
         self.serial = itertools.count()
 
     def on_request(self, now: float, request: Request) -> None:
--- a/cottonhold/emulator/overload.py
+++ b/cottonhold/emulator/overload.py
@@ -22,12 +22,12 @@
 from cottonhold.fleet.admission.demand_sharing import DemandSettings, DemandSharing
 from cottonhold.fleet.admission.threshold import DensityThreshold
 
-MAX_IN_FLIGHT = 2  # requests at an engine, from all instances together, as far as they know
-LOAD_REPORT_INTERVAL_MS = 250.0  # interval of the reports of other instances' requests in flight
+MAX_IN_FLIGHT = 2  # limit of requests at an engine, with those of other instances by their last report
+LOAD_REPORT_INTERVAL_MS = 250.0  # interval of an instance's reports of its requests in flight
 STEP_MS = 100.0
-ANSWER_MARGIN_MS = 60.0  # time before its timeout at which a queued request is rejected
+ANSWER_MARGIN_MS = 60.0  # a queued request is rejected this long before its timeout
 RETRY_INTERVAL_MS = 200.0  # mean time until a client retries
-MIN_ATTEMPTS_PER_SHARE = 100  # attempts of a class at an instance that make its share meaningful
+MIN_ATTEMPTS_PER_SHARE = 100  # smallest number of attempts for which a served share is computed
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,12 +61,12 @@
 class RequestEvent(StrEnum):
     """Events of a request in the model's log."""
 
-    ARRIVED = "came"  # first attempt of a request
+    ARRIVED = "came"  # the first attempt of a request began
     ATTEMPTED = "try"
     SENT = "sent"
     SERVED = "served"
     LATE = "late"
-    REJECTED = "refused"  # last attempt of a request
+    REJECTED = "refused"  # the last attempt of a request was rejected
 
 
 class LogEntry(NamedTuple):
@@ -170,7 +170,7 @@
 
 
 class Policy:
-    """An admission policy that admits all requests, or with a `threshold` those that it admits."""
+    """An admission policy that admits all requests, or only those that its `threshold` admits."""
 
     threshold: DensityThreshold | None = None
 
@@ -221,7 +221,7 @@
             self.make_instance(number, make_policy(number)) for number in range(len(self.weights))
         ]
         self.is_disconnected: Callable[[int, int], bool] = lambda sender, target: False
-        self.claim_factors: dict[int, float] = {}  # by instance: factor by which it overstates its demand
+        self.claim_factors: dict[int, float] = {}  # factors by which instances overstate demand
         self.sent_bytes = 0
         self.log: list[LogEntry] = []
         self.call_at(0.0, self._arrive)
@@ -314,7 +314,7 @@
         self.call_at(now + STEP_MS, partial(self._step, instance))
 
     def _send_demand_report(self, now: float, data: bytes, target: Instance) -> None:
-        receiver = target.demand  # bound now, so that a later incarnation does not receive the report
+        receiver = target.demand  # a later incarnation must not receive the report
 
         def deliver(now: float) -> None:
             receiver.on_message(now, data)
--- a/cottonhold/emulator/power_return_plan.py
+++ b/cottonhold/emulator/power_return_plan.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-COLD_FACTOR = 3.0  # how many times longer work takes on an engine at its start; falls linearly to 1
+COLD_FACTOR = 3.0  # factor by which an engine is slower at its start; decreases linearly to 1
 OUTAGE_MS = 1000.0  # duration of a second power loss
-# A cold engine fails if the work sent to it in a window exceeds this multiple of what it can do in it.
+# A cold engine fails if the work sent to it in a window exceeds this multiple of what it can do in that time.
 FAILURE_FACTOR, FAILURE_WINDOW_MS = 2.0, 1500.0
 
 
@@ -47,7 +47,7 @@
     Attributes:
         recent: Time and work of each request within the current window, in ms.
         failures: How often the engine would have failed.
-        max_load: Largest work in a window, as a multiple of what the engine can do in it.
+        max_load: Largest work in a window, as a multiple of what the engine can do in that time.
     """
 
     recent: list[tuple[float, float]] = field(default_factory=list)
--- a/cottonhold/emulator/process_fleet.py
+++ b/cottonhold/emulator/process_fleet.py
@@ -28,7 +28,7 @@
 ENGINE_COUNT = 6
 STATE_TIMEOUT_S = 60.0
 LOG_TAIL_CHARACTERS = 1500
-CHECKS_PER_SAMPLE = 3  # of each engine
+CHECKS_PER_SAMPLE = 3  # number of health checks of each engine
 # Below the kernel's ephemeral ports, which other connections could use before a process binds its port.
 FIRST_PORT, LAST_PORT = 15_000, 32_000
 BLOCK_PORTS = 200
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -40,8 +40,8 @@
 )
 MEAN_WORK_MS = sum(c.mean_work_ms * c.share for c in REQUEST_CLASSES)
 ZONES = "abc"
-MEMBERS_KNOWN_MS, LIST_KNOWN_MS, SURVEY_MS = 100.0, 300.0, 30.0  # times after an instance's start
-SCHEDULER_COLD_SHARE = 0.15  # cold engine's share of capacity that all instances use without slow start
+MEMBERS_KNOWN_MS, LIST_KNOWN_MS, SURVEY_MS = 100.0, 300.0, 30.0  # time since an instance's start
+SCHEDULER_COLD_SHARE = 0.15  # share of a cold engine's capacity that all use together without slow start
 SCHEDULER_BOUNDS_MS = 500.0
 EJECTION_MS = 400.0  # time without requests for an unreachable engine
 CONNECT_FAILURE_MS = 1.0
@@ -66,15 +66,15 @@
         self.demand = self.fleet.demand
         self.credits = CreditAccount(number, is_warming_up=True)
         self.ejected_until: dict[int, float] = {}  # by engine
-        self.outage_scope: OutageScope | None = None  # as found by its survey so far
+        self.outage_scope: OutageScope | None = None  # the result of its survey so far
         self.retry_after_ms = 0.0
 
     def _engine_with_capacity(self) -> int | None:
         world, now = self.world, self.world.clock.now
         if self.fleet.slow_start is None and now < self.started_at + LIST_KNOWN_MS:
-            return None  # the engine list is not known yet
+            return None  # the engine list has not been received yet
         # As in the scheduler, an instance below its share of the capacity has a higher limit. Otherwise the
-        # instances with requests at a full engine would keep it, as they are the first to see a free place.
+        # instances with requests at a full engine would keep it, as they detect free capacity first.
         fair_share = MAX_IN_FLIGHT * len(world.engines) / len(world.running)
         own_count = sum(engine.in_flight.get(self.number, 0) for engine in world.engines)
         limit = 2 * MAX_IN_FLIGHT if own_count + 1 <= fair_share else MAX_IN_FLIGHT
@@ -137,8 +137,8 @@
         self.check_rounds = self._plan_check_rounds()
         self.finished: list[FinishedRequest] = []
         self.power_losses = self.bound_violations = self.bound_checks = self.blind_sends = 0
-        self.former_shares: dict[str, float] = {}  # by engine: slow start's share at the last check
-        self.slow_start_cores: dict[int, float] = {}  # by step: cores permitted by slow start
+        self.former_shares: dict[str, float] = {}  # share by slow start at the last check, by engine
+        self.slow_start_cores: dict[int, float] = {}  # cores that slow start permitted, by step
         super().__init__(
             seed, lambda now: rate, weights or [1.0] * instances, lambda number: SharedThreshold(), engines,
             classes=REQUEST_CLASSES, loss=loss,
@@ -295,7 +295,7 @@
         instance.fleet.on_attempt_sent(now, request_id, name, request.class_number)
         instance.credits.spend(name, work_ms)
         if self.engine_started_at[engine_number] > now:
-            # Before the engine list is known, the instance cannot tell that the engine is down.
+            # Before the engine list is known, the instance cannot detect that the engine is down.
             self.blind_sends += now < instance.started_at + LIST_KNOWN_MS
             instance.ejected_until[engine_number] = now + EJECTION_MS
             instance.fleet.on_attempt_ended(now, request_id, False, CONNECT_FAILURE_MS)
@@ -369,7 +369,7 @@
                 waiting[number] -= count
                 remaining_ms -= count * request_class.mean_work_ms
                 utility += count * request_class.utility
-                waiting[number] *= 1 - SLOT_MS / request_class.timeout_ms  # some clients leave
+                waiting[number] *= 1 - SLOT_MS / request_class.timeout_ms  # some clients have timed out
         return utility
 
     def _possible_cores(self, now: float) -> float:
