--- a/cottonhold/emulator/engine_replacement.py
+++ b/cottonhold/emulator/engine_replacement.py
@@ -36,7 +36,7 @@
 SETTINGS = DrainSettings()
 ENGINE_COUNT = 3
 LIVENESS_CHECK_MS = 15.0
-REQUEST_END_PROBABILITY = 0.35  # probability per tick that up to two requests end
+REQUEST_END_PROBABILITY = 0.35  # per tick, engine and dispatcher; up to two requests end
 WARMUP_MS = 1500.0  # time until a new engine receives its full share of the traffic
 WARMING_SHARE = 0.3
 MAX_DUPLICATE_DELAY_MS = 3000.0  # maximum delay of the duplicate of a drain report
--- a/cottonhold/emulator/fault_injection/event_log.py
+++ b/cottonhold/emulator/fault_injection/event_log.py
@@ -38,7 +38,7 @@
 
 
 class Mark(NamedTuple):
-    """An action or observation of the harness about a process; a run's result contains marks as arrays.
+    """An action or observation of the harness that concerns a process; an array in a run's result.
 
     Attributes:
         at: Time of the monotonic clock, in s.
--- a/cottonhold/emulator/fault_injection/power_loss_run.py
+++ b/cottonhold/emulator/fault_injection/power_loss_run.py
@@ -32,7 +32,7 @@
 RESULT_FILE = "cuts.json"
 CLIENT_TIMEOUT_S = 5.0
 LOAD_RETENTION_S = 2 * CLIENT_TIMEOUT_S + 10.0  # how long instances remember a load
-SERVING_TIMEOUT_S = 60.0  # how long loads may fail after a restart, on a machine that other programs use too
+SERVING_TIMEOUT_S = 60.0  # timeout until loads run after a restart, on a machine shared with other programs
 # Unanswered attempts are findings only with at least this timeout, since a busy machine may delay the others,
 # and only if the request was written within this time after the attempt began.
 MIN_TIMEOUT_MS = 1400.0
--- a/cottonhold/emulator/fault_injection/power_losses.py
+++ b/cottonhold/emulator/fault_injection/power_losses.py
@@ -133,7 +133,8 @@
         self.random, self.instances = random.Random(seed), tuple(instances)
         self.absent: dict[str, int] = {}  # remaining restarts that each absent instance misses
         self.copy: Countdown | None = None  # the instance with a copied folder, until it is restored
-        self.wrong_folder: Countdown | None = None  # the instance with an emptied or old folder
+        # The instance with an emptied or old folder, until all instances have settled.
+        self.wrong_folder: Countdown | None = None
 
     def power_losses(self, count: int) -> Iterator[PowerLoss]:
         """Draw `count` power losses."""
--- a/cottonhold/emulator/lossy_disk.py
+++ b/cottonhold/emulator/lossy_disk.py
@@ -34,7 +34,9 @@
 
 STALL_POLL_INTERVAL_S = 0.01
 LEAK_PROBABILITY_AT_POWER_LOSS = 0.5
-COMPLETE_WRITE_PROBABILITY = 0.5  # for an unsynced write that reaches the disk at all
+# An unsynced write that reaches the disk is complete with this probability; otherwise only its first part is
+# written.
+COMPLETE_WRITE_PROBABILITY = 0.5
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -41,7 +41,8 @@
 MEAN_WORK_MS = sum(c.mean_work_ms * c.share for c in REQUEST_CLASSES)
 ZONES = "abc"
 MEMBERS_KNOWN_MS, LIST_KNOWN_MS, SURVEY_MS = 100.0, 300.0, 30.0  # time since an instance's start
-SCHEDULER_COLD_SHARE = 0.15  # share of a cold engine's capacity that all use together without slow start
+# Share of a cold engine's capacity that all instances together use without slow start.
+SCHEDULER_COLD_SHARE = 0.15
 SCHEDULER_BOUNDS_MS = 500.0
 EJECTION_MS = 400.0  # time without requests for an unreachable engine
 CONNECT_FAILURE_MS = 1.0
--- a/cottonhold/emulator/rolling_replacement.py
+++ b/cottonhold/emulator/rolling_replacement.py
@@ -1,8 +1,8 @@
 """A model of a rolling replacement in virtual time: dispatchers whose registers need a majority, and faults.
 
-The coordinators are the real ones. Of sticky keys and open requests the model has only the numbers. Operators
-power a machine off after they are notified that it is ready. The seed determines the whole run. Times are in
-ms.
+The coordinators are the real ones. Sticky keys and open requests are modelled only by their numbers.
+Operators power a machine off after they are notified that it is ready. The seed determines the whole run.
+Times are in ms.
 """
 
 from __future__ import annotations
@@ -214,7 +214,7 @@
         )
 
     def _visible_machines(self, host: Host) -> list[Machine]:
-        """Return the machines that a host sees by its membership."""
+        """Return the machines in a host's view of the membership."""
         return [
             Machine(
                 other.name, other.zone, other.cores, False, other.incarnation, True, self.is_voting(other)
--- a/cottonhold/emulator/rolling_replacement_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -286,7 +286,7 @@
     world = start_replacement(seed)
 
     def abort() -> None:
-        # The request goes to a host that stays up; one that is powered off soon would lose it.
+        # The request is sent to a host that stays up, since a host that is powered off soon would lose it.
         active = world.plan().active_machine_ids
         leaving = {WATCHED_MACHINE, *(n for n in world.hosts if machine_id(n) in active)}
         for host in world.hosts.values():
--- a/cottonhold/membership/duties.py
+++ b/cottonhold/membership/duties.py
@@ -223,7 +223,7 @@
         return self.assignments[key[0]].holder(key[1]) == self.self_id
 
     def _on_assignment(self, now: float, key: DutySubject) -> None:
-        """Begin or end this instance's assignment after a subject was assigned to another member."""
+        """Begin or end this instance's assignment after the assignment of a subject has changed."""
         if self.duties[key[0]].guarantee is Guarantee.AT_MOST_ONCE:
             return  # `_claim_leases` requests a lease, and the assignment begins when it is granted
         if not self._is_assigned(key):
