--- a/cottonhold/discovery/consul/health_response.py
+++ b/cottonhold/discovery/consul/health_response.py
@@ -155,7 +155,7 @@
 
 
 def _latest_registrations(observations: list[Observation]) -> list[Observation]:
-    """Return one observation for each id: of an engine listed on two nodes, that registered later."""
+    """Return one observation for each engine id; if two nodes list an engine, the later registration."""
     by_id: dict[str, Observation] = {}
     for observation in observations:
         other = by_id.get(observation.id)
--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -94,8 +94,8 @@
         self.views = {name: self._view(name, i, guard) for i, (name, guard) in enumerate(sources)}
         self.published: dict[str, PublishedEngine] = {}
         self.owner_by_address: dict[Address, str] = {}
-        # Engines with a reported end which another source still lists by an older answer; evaluated again in
-        # each step.
+        # Engines that one source reported as ended, while an older answer of another source still lists
+        # them; they are evaluated again in each step.
         self.unresolved: set[str] = set()
 
     def _view(self, name: str, precedence: int, guard: SourceGuard) -> SourceView:
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -20,13 +20,14 @@
 
 
 class Operators:
-    """One request for a rolling replacement, sent to one instance.
+    """Requests one rolling replacement at an instance, and replaces the machines as operators would.
 
     Args:
         run: The run.
         instance: Name of the instance that receives the request.
-        options: Fields of the call, where `machines` may be a target of a fault. `gone` is the time for which
-            an instance is absent, in s. With `empty`, instances return with an empty state folder.
+        options: Fields of the call. `machines` may also be a fault's target, such as `e*`, which is resolved
+            to names. `gone` is the time for which an instance is absent, in s. With `empty`, instances
+            return with an empty state folder.
     """
 
     def __init__(self, run: ScenarioRun, instance: str, options: dict[str, Any]) -> None:
--- a/cottonhold/emulator/replacement_invariants.py
+++ b/cottonhold/emulator/replacement_invariants.py
@@ -50,7 +50,7 @@
         self._newest_effects[machine] = max(newest, (epoch, host.name))
 
     def is_fenced(self, machine: str, epoch: int) -> bool:
-        """Return whether a host has acted on a machine in a newer epoch."""
+        """Return whether a host has already acted on the machine under a newer epoch than this one."""
         return epoch < self._newest_effects[machine][0]
 
     def on_register_changed(self, name: str, before: bytes, after: bytes) -> None:
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -168,11 +168,12 @@
     round_trips_ms: dict[str, float],
     zone_names: Mapping[int, str],
 ) -> HomeZone:
-    """Return one home from the reports of its sites.
+    """Combine the reports of a home zone's instances into the state of that zone.
 
     Args:
-        sites: The reports.
-        rates: The capped work by density step of each site, by member.
+        sites: The reports of the instances in the zone, one for each instance.
+        rates: By member, the work that its clients request by step of utility density, limited for each
+            member.
         extrapolation_factor: Number of instances for each one that reported.
         round_trips_ms: Round trip to each zone.
         zone_names: Name of each zone, by number.
--- a/cottonhold/fleet/recovery/membership_survey.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -188,9 +188,9 @@
     def may_send_loads(self, now: float) -> bool:
         """Return whether this instance may send loads.
 
-        It must not be the later process of its number, others must have checked its memory (a folder that was
-        copied before this incarnation has the same checkpoint), and half of the configured dispatchers must
-        receive its reports.
+        No older process may use the same member number. Other members must have checked the memory, since a
+        folder that was copied before this incarnation has the same checkpoint. At least half of the
+        configured dispatchers must receive this instance's reports.
         """
         if self.duplicate is not None and self.duplicate.is_later:
             return False
@@ -371,7 +371,7 @@
         return max(self.requested_checkpoint + is_checkpoint_due, self.boot_count * CHECKPOINTS_PER_BOOT)
 
     def presence_for(self, now: float, receiver: int | None = None) -> Presence:
-        """Return this instance's report, for the given number or a member whose number is not known yet."""
+        """Return the presence report for a receiver, by its member number; None if that is not known yet."""
         oldest = now - self.settings.max_report_age_ms
         numbers = peers_to_report(self.peers, oldest, receiver, self.rotation)
         states = tuple(self.peers[n].state(now, self.settings.min_alternations) for n in numbers)
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -65,7 +65,7 @@
     """One instance's answer to a query about a load; of several, SUCCEEDED and then MAY_HAVE_RUN decide."""
 
     NEVER_SENT = 0  # it has not sent the load, and will query the others before it does
-    ALSO_QUERIED = 1  # as NEVER_SENT, and a dispatcher other than the querying one has queried it too
+    ALSO_QUERIED = 1  # as NEVER_SENT, and another dispatcher has also asked it about the load
     NOT_KNOWN_YET = 2  # it has not yet determined whether its memory is intact
     UNKNOWN = 3  # it may have sent the load at a time of which it has no records
     SUCCEEDED = 4  # it sent the load, which succeeded
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -94,7 +94,7 @@
         self.forgotten_epoch = 0  # highest epoch of an ownership record that was purged
         # As a voter: for each refused member, the lowest epoch of a table with which it is granted a lease.
         self.refused_epochs: dict[int, int] = {}
-        self.is_barred = not folder_is_current  # whether it grants and promises nothing until admitted
+        self.is_barred = not folder_is_current  # before its admission this member sends no grants or promises
         # A member without a usable state folder does not know whether recent fences are in force already.
         self.fences: dict[int, Fence] = {m: Fence() for m in fenced if m != member and m not in self.members}
         self.fenced_at: dict[int, float] = dict.fromkeys(self.fences, now)
--- a/cottonhold/scheduler/events.py
+++ b/cottonhold/scheduler/events.py
@@ -214,7 +214,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineQuotas:
-    """The fleet has set new quotas of work for this gateway, which replace all earlier ones.
+    """New quotas of work for this gateway, set by the fleet; they replace all earlier ones.
 
     Attributes:
         work_rate_by_engine: Work that may be sent to an engine, by its id, in ms of work per ms; 0 closes the
