--- a/cottonhold/discovery/start_times.py
+++ b/cottonhold/discovery/start_times.py
@@ -19,7 +19,7 @@
 MAX_CLOCK_STEP_MS = 3_600_000.0  # the largest expected step of a wall clock
 USUAL_DELAY_MS = 5000.0  # the usual maximum time between a start and its report
 MAX_CLOCK_ERROR_MS = 2 * MAX_CLOCK_STEP_MS  # the largest expected error of the local wall clock
-MIN_START_MS = 1.0  # earliest start returned, since 0 would mean "long ago, without a stamp"
+MIN_START_MS = 1.0  # lower limit of returned start times; 0 is reserved for engines without a start stamp
 
 
 class StartTimes:
--- a/cottonhold/emulator/fault_injection/processes.py
+++ b/cottonhold/emulator/fault_injection/processes.py
@@ -110,7 +110,9 @@
         return self._start_and_register("clients", program, stdout=subprocess.PIPE)
 
     def prepare(self, name: str) -> None:
-        """Load the program of a process that a later fault starts; only with state folders and without forks.
+        """Preload the program of a process that a later fault starts.
+
+        Applies only to runs with state folders whose processes are not forked.
 
         When many programs load simultaneously on a busy machine, the loading time of several seconds would be
         measured as a slow recovery of the fleet.
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -348,10 +348,10 @@
         return cores
 
     def possible_utility(self, begin: float, end: float, by_slow_start: bool = False) -> float:
-        """Return the largest utility of arrived requests that the engines could serve, densest first.
+        """Return the largest utility of arrived requests that the engines could serve, highest density first.
 
-        While an engine is cold, the share of instances that are down is not used. With `by_slow_start`, only
-        the cores that slow start permitted are used.
+        The part of a cold engine's capacity that belongs to instances that are down counts as unused. With
+        `by_slow_start`, only the cores that slow start permitted are used.
         """
         arrivals: dict[int, list[float]] = {}  # by slot: requests of each class
         for at, _, class_number, event in self.log:
--- a/cottonhold/fleet/consensus/register_cache.py
+++ b/cottonhold/fleet/consensus/register_cache.py
@@ -59,7 +59,7 @@
         self.last_token = random_source.getrandbits(30) << 20
 
     def register(self, name: str) -> CachedRegister:
-        """Return a register, which is added if it is not cached yet."""
+        """Return the register of a name; add it to the cache if it is missing."""
         return self.registers.setdefault(name, CachedRegister())
 
     def received(self, name: str) -> CachedRegister | None:
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -343,7 +343,7 @@
 
     def _report(self, now: float) -> list[Action]:
         """Return a round of reports and schedule the next; with a faulty zone it is due at the next step."""
-        # Random, so that instances do not report simultaneously; always drawn, to keep the sequence the same.
+        # Random, so that reports are not simultaneous; drawn in any case, so that a seed's sequence stays.
         interval_ms = self.settings.report_interval_ms * (0.8 + 0.4 * self.random.random())
         self.next_report = now if self._has_fault() else now + interval_ms
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -32,7 +32,7 @@
 
 MAX_WARM_ENTRIES = 5  # maximum number of warm engines that others still limit, in a report of a large fleet
 MIN_WARMUP_LIMIT = 1e-9  # in ms per ms; not 0, because the scheduler ignores limits if none allows any work
-STEP_TOLERANCE_MS = 1.0  # time by which a timer may call `step` too early
+STEP_TOLERANCE_MS = 1.0  # largest time by which a timer may call `step` too early
 ROTATION_MULTIPLIER = 0x9E3779B1  # 2^32 / golden ratio: spreads successive versions over all engine numbers
 
 
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -136,7 +136,8 @@
         if epoch <= self.epoch:
             return False
         if epoch != self.epoch + 1:
-            # In a missed epoch, one of this home's keys may have had another home.
+            # In the missed epochs another member may have been the home of this member's keys, so the
+            # recorded owners may be incomplete.
             self.complete_epoch = NEVER_COMPLETE
         self.epoch = epoch
         self.record_version += 1
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -50,7 +50,7 @@
         """Return whether this instance owns the key now, so that a request may start here."""
 
     def is_member(self, member: int) -> bool:
-        """Return whether a member may own keys, by the membership table that this instance knows."""
+        """Return whether a member may own keys, according to this instance's membership table."""
 
     def will_not_start(self, key: bytes) -> bool:
         """Return whether a waiting request with this key can no longer start here."""
@@ -126,7 +126,7 @@
         self.forwarding_rounds: dict[bytes, ForwardingRound] = {}
         self.round_numbers = itertools.count(secrets.randbits(62))
         self.origin_rounds: dict[str, OriginRound] = {}  # by id of a request forwarded to this member
-        # Number of the last round that was returned, by origin and key.
+        # By origin and key: number of the last round of forwarded requests that was returned to the origin.
         self.returned_rounds: dict[tuple[int, bytes], int] = {}
         self.owners_by_returned: dict[str, int] = {}  # owner by id of a returned request; 0: not known
         self.wait_histogram = [0] * (len(WAIT_STEPS_MS) + 1)  # requests of this instance's own clients
@@ -357,7 +357,7 @@
             del self.forwarding_rounds[request.key]
 
     def _return_round(self, request: KeyedRequest, owner: int) -> None:
-        """Return a request to the member that forwarded it, and all later requests of its round with it."""
+        """Return a request, and all later requests of its forwarding round, to the member that sent it."""
         if request.origin_round is None:
             return
         self.owners_by_returned[request.client_request.request_id] = owner
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -221,7 +221,7 @@
         )
 
     def _update_view(self, now: float) -> None:
-        """Report the machines, open requests and troubles that this instance observes to the coordinator."""
+        """Pass the machines, open requests and faults that this instance observes to the coordinator."""
         coordinator, live = self.coordinator, set(self.swim.live_members())
         dispatchers = [self._machine(self.name, self.swim.id, self.survey.number, self.survey.incarnation)]
         dispatchers[0] = replace(dispatchers[0], is_voting=self.registers.is_voting())
@@ -247,8 +247,8 @@
             )
         demand = self.fleet.demand
         is_shedding_load = demand is not None and demand.threshold is not None and demand.threshold.step > 0
-        # Load shedding is a separate reason, because a draining engine may cause it. The engine's own drain
-        # must not be blocked by it.
+        # Load shedding is reported as a reason of its own: a draining engine may cause it, and it
+        # does not stop a machine that is already draining.
         coordinator.set_fleet_trouble(
             now, "sheds", "the fleet turns requests away" if is_shedding_load else ""
         )
--- a/cottonhold/membership/rendezvous.py
+++ b/cottonhold/membership/rendezvous.py
@@ -44,7 +44,7 @@
         return frozenset(self.subjects_by_member.get(member, ()))
 
     def add_member(self, member: int, weight: float = 1.0) -> set[str]:
-        """Add a member, or change its weight; return the subjects whose holder changed."""
+        """Add a member, or change its weight; return the subjects that another member holds now."""
         if self.members.get(member) == weight:
             return set()
         released = self.remove_member(member)
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -41,7 +41,7 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import RecordKind
 
-SILENT_SOURCE_S = 10.0  # time after the start after which a source without an answer is logged
+SILENT_SOURCE_S = 10.0  # time from the start until a source that has not answered is logged
 MAX_LIST_WAIT_MS = 10_000.0  # longest time that loads wait after the start for a source's first answer
 DEREGISTER_TIMEOUT_S = 3.0  # longest duration of the deregistration; SIGKILL may end it earlier
 RELOADED_SECTIONS = ("sources", "known", "log", "register")  # changes in other sections need a restart
@@ -208,7 +208,7 @@
             self.zone_failover.set_process_count(1 + self.sibling_count)
 
     def on_other_datagram(self, data: bytes, sender: Address) -> bool:
-        """Process a datagram of membership, which has its own first byte; return whether it was one."""
+        """Process a membership datagram, recognized by its first byte; return False for any other."""
         return self.membership is not None and self.membership.on_datagram(data, sender)
 
     def on_engine_list(self, change: EngineListChange) -> None:
--- a/cottonhold/scheduler/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -25,7 +25,7 @@
 MEAN_PRIOR_SAMPLES = 10  # weight of the initial estimate of the mean work, in queries
 SETTLED_ANSWERS = 8  # answers from which on the mean work of a class replaces the query's own estimate
 QUOTA_BURST_MS = 250.0  # time over which an unused quota accumulates; short, as bursts may coincide
-HASH_COUNT = 2**32  # number of hashes of engine ids; divided by it, a hash is a fraction from 0 to 1
+HASH_COUNT = 2**32  # number of possible hashes of an engine id; hash / HASH_COUNT is from 0 to 1
 
 
 def exceeds_budget(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
