--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -168,7 +168,7 @@
     def unsent_outcome(self) -> Outcome:
         """Return the outcome of an attempt or a health check that could not be started.
 
-        If this process has no descriptors left, the failure is no evidence against the engine.
+        Without free descriptors it is OVERLOADED, which causes a back-off but is no sign of a fault.
         """
         is_full = self.open_connections >= self.max_connections
         return Outcome.OVERLOADED if is_full else Outcome.CONNECT_FAILED
--- a/cottonhold/config/schema.py
+++ b/cottonhold/config/schema.py
@@ -274,7 +274,7 @@
             allows ten minutes at most. A silently broken connection is not detected for this long.
         first_byte_timeout_ms: Time after the wait within which the first byte must arrive, in ms.
         body_timeout_ms: Time from the first byte within which the response must be complete, in ms.
-        min_backoff_ms: Pause after the first failure, in ms; it doubles with each further failure.
+        min_backoff_ms: Pause after a failure, in ms; it doubles each time that all agents have failed.
         max_backoff_ms: Upper limit of the doubled pause, in ms.
         min_interval_ms: Pause between a response and the next request, in ms; at most half of the 500 ms
             within which a drain must be known.
--- a/cottonhold/discovery/damping.py
+++ b/cottonhold/discovery/damping.py
@@ -1,8 +1,9 @@
-"""Flap damping: how long an engine that failed must stay healthy before it returns to service. Pure.
+"""Flap damping: how long an engine that left service must stay healthy before it returns. Pure.
 
-Each failure adds one to a count that decays exponentially, and the quiet time doubles with each failure in
-the count. After a single failure the quiet time is the shortest; an engine that flaps ten times in ten
-seconds returns once or twice instead of ten times.
+A failure here is any end of service, also a deliberate one. Each adds one to a count that decays
+exponentially, and the quiet time doubles with each failure in the count. After a single failure the quiet
+time is the shortest; an engine that flaps ten times in ten seconds returns once or twice instead of ten
+times.
 """
 
 from __future__ import annotations
--- a/cottonhold/discovery/model.py
+++ b/cottonhold/discovery/model.py
@@ -72,7 +72,7 @@
     machine_types: tuple[str, ...]
 
     def zone_index(self, name: str) -> int:
-        """Return the position of a zone; 0 if the name isn't configured."""
+        """Return the position of a zone; 0, the first zone, if the name isn't configured."""
         return self.zones.index(name) if name in self.zones else 0
 
     def machine_type_index(self, name: str) -> int:
@@ -105,7 +105,7 @@
         zone: The position of the zone in the configuration.
         machine_type: The position of the machine type in the configuration.
         cell: The number of the cell.
-        size: The engine's capacity relative to others.
+        size: The number of cores that is assumed if the machine type has none; Consul's weight.
         process_id: Identifies the process; equal and not empty means that it is the same process.
         registration_index: Orders the registrations of one id or one address; 0 if unknown.
         started_at: When the process started, in ms of Unix time on a remote clock; 0 if unknown.
--- a/cottonhold/discovery/start_times.py
+++ b/cottonhold/discovery/start_times.py
@@ -4,7 +4,7 @@
 offset between the stamps and the monotonic clock is learned from the stamps themselves. No process is
 reported before it starts, so the latest stamp minus the time at which it was received is at most the true
 offset. A start derived from it may be too late, which limits a warm engine to the cold budget for at most
-`warm_within`; it can't be too early, which would make a cold engine look warm.
+the warm-up time; it can't be too early, which would make a cold engine look warm.
 
 The offset read from the local wall clock is used instead in three cases: it agrees with the learned offset
 within the usual delay of reports; it gives a later start (the remote clock may be ahead); or the learned
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -298,7 +298,8 @@
     """Holds back loads after a start until the instance has read which engines are drained.
 
     If an engine was drained while the instance was down, the instance might otherwise send it a load just as
-    it is powered off, and the outcome of the load would be unknown. Idempotent requests are not held back.
+    it is powered off, and the outcome of the load would be unknown. Requests other than loads are not held
+    back.
 
     The gate opens once all registers of the rolling replacement have been read from a majority. Without a
     majority of the voters they cannot be read; then it opens after no_majority_timeout_ms. In any case it
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -50,7 +50,7 @@
 
     NEVER_SENT      this instance must send it now (then call `on_sent`) or call `cancel`
     SUCCEEDED       it has succeeded
-    MAY_HAVE_RUN    the retry fails; the load is never sent again
+    MAY_HAVE_RUN    the retry fails, and is not sent
     NOT_KNOWN_YET   the retry is rejected; the client may retry after `retry_after_ms`
     """
 
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -2,10 +2,11 @@
 
 An engine that has or may have just started has a share, which is the part of its full capacity that all
 instances together may send to it. The share is 0 until the engine is listed or has answered; then it is what
-a cold engine can process. From there it grows with the results of the engine's answers at all instances, not
-with time alone. An engine that shows its full speed is warm and becomes free, that is, it is no longer
-limited. See docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms
-as a warm engine would need.
+a cold engine can process. From there it grows with the results of the engine's answers at all instances, and
+with the engine's age while no queue builds up. An engine that shows its full speed is warm and becomes free,
+that is, it is no longer limited; every engine becomes free after `max_duration_ms`. See
+docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms as a warm
+engine would need.
 """
 
 from __future__ import annotations
--- a/cottonhold/fleet/recovery/warming_engine.py
+++ b/cottonhold/fleet/recovery/warming_engine.py
@@ -39,8 +39,8 @@
         share: Part of its full capacity that all instances together may send.
         started_at: When it started, as far as is known.
         not_before: Observations by instances that assume an earlier start belong to an earlier incarnation.
-        has_answered: Whether it is listed or has answered.
-        was_tried: Whether a health check or an attempt has ended, here or at another instance.
+        has_answered: Whether it is listed or has answered, so that work may be sent to it.
+        was_tried: Whether a health check or an attempt has ended here, or a check has succeeded elsewhere.
         answers: Successful answers within the window.
         updated_at: When its share was last updated.
         warm_since: Since when it has shown the speed of a warm engine.
--- a/cottonhold/fleet/request_forwarding/forwarder.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -108,7 +108,7 @@
     ) -> list[Action]:
         """Send the gateway's result of a request from a RequestAccepted to its origin.
 
-        REJECTED, NOT_OWNER and NOT_ACCEPTED guarantee that nothing ran. The result becomes FAILED if the
+        After REJECTED, NOT_OWNER and NOT_ACCEPTED a retry does no harm. The result becomes FAILED if the
         data exceeds MAX_BODY_BYTES, or if all unacknowledged answers to the origin, with this one, exceed
         max_answer_bytes.
         """
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -49,7 +49,7 @@
 
     Attributes:
         ANSWERED: The owner answered it.
-        REJECTED: Nothing ran; the client may retry after a delay.
+        REJECTED: A retry does no harm; the client may retry after a delay.
         FAILED: There is no answer, but the request may have run.
         NOT_OWNER: Nothing ran; the receiver does not own the key.
         NOT_ACCEPTED: Nothing ran; no owner accepted the request or will accept it.
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -158,7 +158,7 @@
         self.view, self.registers, self.settings = view, registers, settings
         self.start_conditions = StartConditions(settings.voters, settings.default_duration_ms, capacity_check)
         self.progress: dict[str, LocalProgress] = {}
-        self.keys_by_target: dict[str, int] = {}  # number of keys moved to each target
+        self.keys_by_target: dict[str, int] = {}  # number of keys requested to be moved, by proposed target
         self.abort_deadlines: dict[str, float] = {}  # by machine: time at which a requested abort is given up
 
     def step(self, now: float, name: str, record: MachineRecord) -> list[Action]:
--- a/cottonhold/fleet/rolling_replacement/step_decision.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MoveKeys:
-    """Move at most `max_keys` keys of a machine to the target, under this epoch of the replacement."""
+    """Move at most `max_keys` keys away from a machine. Session affinity chooses the targets itself."""
 
     machine: str
     target: str
--- a/cottonhold/fleet/session_affinity/ownership_records.py
+++ b/cottonhold/fleet/session_affinity/ownership_records.py
@@ -37,9 +37,10 @@
         retry_interval_ms: Interval at which unanswered messages are sent again, in ms.
         max_moves_per_second: Maximum rate of offers to one target, in keys per second.
         max_pending_offers: Maximum number of keys that are being moved to one target.
-        fence_delay_ms: Time after an offer until no further request for the key starts, in ms.
+        fence_delay_ms: Time after an accepted offer until no further request for the key starts, in ms.
         retry_after_ms: Time after which a request whose key has no owner now is retried, in ms.
-        uncertainty_ms: Time after a fence during which the fenced member's requests may still run, in ms.
+        uncertainty_ms: Time after a fence or a move during which requests of the former owner may still run,
+            in ms.
         max_records: Expected maximum number of keys of an owner; offers are declined at twice this number.
         max_overload_factor: Maximum ratio of the keys moved to a target to its proportional share.
         lease: Times of the leases of members.
@@ -69,7 +70,8 @@
 class OwnedHere:
     """Requests for the key may start here until `valid_until` (local clock), under this epoch.
 
-    If may_have_run is set, a request of an earlier owner may have run with an outcome that is not known here.
+    may_have_run: a request of an earlier owner may have run, and its outcome is not known here. Repeated
+    execution is prevented by the load history, which does not depend on this flag.
     """
 
     epoch: int
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -60,7 +60,8 @@
     Attributes:
         max_report_age_ms: Age above which reports of others are ignored, in ms. It covers several report
             rounds, so that a lost message changes nothing.
-        hold_down_ms: Minimum time that a zone stays evacuated, in ms. Each failed return doubles it.
+        hold_down_ms: Time after an evacuation until this instance votes for the return, in ms. Each failed
+            return doubles it.
         max_hold_down_ms: Upper limit of the doubled hold-down, in ms.
         quiet_ms: Time without a failed return after which a doubled hold-down is halved, in ms. A return has
             failed if the zone is evacuated again within this time of its start.
@@ -139,7 +140,7 @@
             now: Current time, in ms.
             evidence: This instance's evidence by zone; zones without an entry are not changed.
             reports: Fresh reports of the other voters by zone.
-            electorate: Number of voters, including this instance.
+            electorate: Number of voters. This instance's vote is counted even if it is not one of them.
 
         Returns:
             The zones whose phase changed in this step.
--- a/cottonhold/fleet/zone_failover/zone_state.py
+++ b/cottonhold/fleet/zone_failover/zone_state.py
@@ -37,7 +37,7 @@
         traffic_share: Share that the returning zone may get, as proposed by this instance.
         share_changed_at: Time of the last change of `traffic_share`.
         retained_share: Share that is still sent to the zone while it is evacuated.
-        hold_down_ms: Minimum time that the zone stays evacuated, in ms.
+        hold_down_ms: Time after the evacuation until this instance votes for the return, in ms.
         return_started_at: Time at which the last return started.
         hold_down_reduced_at: Time at which `hold_down_ms` was last halved.
         joining_requested_at: Time since which the reports of others are sufficient to join an evacuation;
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -209,7 +209,7 @@
             self._end(request)
 
     def on_forwarding_ended(self, ended: ForwardingEnded) -> None:
-        """Answer the client of a forwarded request, or queue the request again if it reached no owner."""
+        """Answer the client of a forwarded request, or queue the request again after NOT_OWNER."""
         request = self.requests.get(ended.request_id)
         if request is None or not request.owner:
             return
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -1,7 +1,7 @@
 """The gateway's load guard: records loads on disk before they are sent, and queries others about retries.
 
-It makes no decisions: the load history decides whether a load may be sent, and the store reports what is
-durable.
+The load history decides whether a load may be sent, and the store reports what is durable. A load that can't
+be recorded is rejected here.
 """
 
 from __future__ import annotations
--- a/cottonhold/fleet_adapters/request_forwarding.py
+++ b/cottonhold/fleet_adapters/request_forwarding.py
@@ -38,7 +38,7 @@
         self.adapter.on_forwarded_ended(self, ForwardResult.ANSWERED, 0.0, encode_rows(rows))
 
     def reject(self, retry_after: float) -> None:
-        """Report that nothing ran: the request was rejected, or this instance does not own its key."""
+        """Report that a retry does no harm: the request was rejected, or another instance owns its key."""
         owner = self.adapter.guard.owners_by_returned.get(self.request_id)
         if owner is None:
             self.adapter.on_forwarded_ended(self, ForwardResult.REJECTED, retry_after, b"")
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -33,8 +33,9 @@
 from cottonhold.transport.clock import Clock, Timer
 
 # Outcomes of attempts that are evidence for (True) or against (False) the engine. Attempts that were
-# rejected, cancelled or never sent are no evidence. Neither is a timeout, since the query may have spent its
-# time in this instance's queue: it is recorded as a cancelled attempt, with the time that the attempt ran.
+# rejected, cancelled or never sent are no evidence of a failure; a late cancelled one is evidence of
+# slowness. Neither is a timeout, since the query may have spent its time in this instance's queue: it is
+# recorded as a cancelled attempt, with the time that the attempt ran.
 SUCCESS_BY_OUTCOME = {
     Outcome.OK: True,
     Outcome.ERROR: False,
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -1,7 +1,8 @@
 """The lifecycle of requests, from arrival to one final response, independent of sockets and client protocols.
 
-The gateway passes the events of each event loop iteration to the scheduler and executes its actions. Only the
-scheduler decides whether, where and when a request is sent, retried or rejected.
+The gateway passes the events of each event loop iteration to the scheduler and executes its actions. The
+scheduler decides whether, where and when a request is sent, retried or rejected. Before that, a load guard
+may answer a load that must not be sent.
 """
 
 from __future__ import annotations
@@ -229,7 +230,7 @@
             self._respond(lambda: respond(sink))
 
     def on_client_disconnected(self, request: OpenRequest) -> None:
-        """Close a request whose client has disconnected; an attempt in flight continues to its end."""
+        """Close a request whose client has disconnected; the scheduler decides about an attempt in flight."""
         if self._finish(request) is not None:
             self.counters.add("clients_gone")
             self.push(ClientDisconnected(request.client_request.request_id))
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -24,7 +24,7 @@
 # lag.
 SHUTDOWN_ACCEPT_LONG_MS = 400.0
 SHUTDOWN_IDLE_CLOSE_MS = 600.0  # time after SIGTERM from which idle connections are closed
-SHUTDOWN_ACCEPT_CLIENTS_MS = 800.0  # time after SIGTERM during which new clients are accepted
+SHUTDOWN_ACCEPT_CLIENTS_MS = 800.0  # shortest time after SIGTERM for which new clients are accepted
 # SIGKILL follows SIGTERM after the longest deadline (3 s at most) plus 0.7 s, or later.
 MAX_KILL_DEADLINE_MS, KILL_GRACE_MS = 3000.0, 700.0
 KILL_MARGIN_MS = 200.0  # time between the last response and SIGKILL; covers a busy loop's lag
@@ -86,13 +86,14 @@
         return self.answer_deadline() - CLOSE_MARGIN_MS
 
     def accept_deadline(self) -> float:
-        """Return the time until which new clients are accepted."""
+        """Return the time until which new clients are accepted at least."""
         return min(self.shutdown_since + SHUTDOWN_ACCEPT_CLIENTS_MS, self.close_deadline())
 
     def is_ready(self) -> bool:
         """Return whether health checks succeed.
 
-        They fail in a drain, but not because of a shutdown, since a newer process may serve already.
+        This concerns pings at the clients' address. They fail in a drain, but not because of a shutdown,
+        since a newer process may serve already. The operators' /healthcheck fails in both.
         """
         return self.draining_since == math.inf
 
--- a/cottonhold/node/notifications.py
+++ b/cottonhold/node/notifications.py
@@ -32,7 +32,10 @@
             self.on_fault(error)
 
     def attempt_not_started(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Notify observer and load guard of an attempt that never started: no evidence about its engine."""
+        """Notify observer and load guard of an attempt that never started, so that they don't count it.
+
+        The scheduler receives the original outcome.
+        """
         if self.observer is not None:
             never_started = dataclasses.replace(event, outcome=Outcome.NOT_STARTED)
             self.observer.on_attempt_ended(attempt, never_started)
--- a/cottonhold/scheduler/admission.py
+++ b/cottonhold/scheduler/admission.py
@@ -58,7 +58,7 @@
 
 
 def _count_arrival(gateway: GatewayState, query: Query) -> None:
-    """Count an accepted query for the retry budget, the traffic, the health check budget and its tenant."""
+    """Count an arriving query for the retry budget, the traffic, the health check budget and its tenant."""
     retry_policy.count_accepted_query(gateway)
     gateway.local_traffic.add(gateway.now)
     budget = gateway.health_check_budget + gateway.health_checks_per_query
@@ -132,7 +132,7 @@
 
 
 def on_client_disconnected(gateway: GatewayState, event: ClientDisconnected) -> None:
-    """Finish the query of a disconnected client, and cancel its attempt if the query is idempotent."""
+    """Finish the query of a disconnected client, and cancel its attempt unless it is not idempotent."""
     query = gateway.queries.get(event.query_id)
     if query is None or query.is_finished:
         return
--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -64,10 +64,10 @@
 def _retry_or_answer(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
     """Queue the query for a further attempt if the rules and the remaining time permit, else answer it.
 
-    There is no further attempt after one that the gateway withdrew before its start: its client disconnected,
-    the remaining time was too short, or the load could not be recorded. A further attempt needs at least half
-    the planned run time. The deadline is added again, as it may have expired, and been removed from the queue
-    of deadlines, while the attempt was in flight.
+    There is no further attempt after NOT_STARTED: the client disconnected, the remaining time was too short
+    or the time to begin was over, the load could not be recorded, or the engine did not know the attempt. A
+    further attempt needs at least half the planned run time. The deadline is added again, as it may have
+    expired, and been removed from the queue of deadlines, while the attempt was in flight.
     """
     needed_ms = max(query.planned_run_ms / 2, gateway.answer_margin_ms)
     is_late = gateway.now + needed_ms > query.deadline_at
--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -125,7 +125,7 @@
 
         The allowance earned under the former quota of a cold engine is added first, so that time after that
         quota's expiry earns nothing. An engine with its first quota starts without allowance. An engine whose
-        quota is lifted has reached its full capacity and is no longer cold.
+        quota is lifted is regarded as warm.
         """
         is_reopened = not self.quota_rate and quota_rate > 0
         if self.quota_rate < math.inf and now < self.cold_until:
--- a/cottonhold/scheduler/events.py
+++ b/cottonhold/scheduler/events.py
@@ -26,12 +26,15 @@
     Attributes:
         OK: The engine answered.
         ERROR: The engine answered with an error.
-        OVERLOADED: The engine rejected the attempt as it has no capacity.
+        OVERLOADED: The engine rejected the attempt as it has no capacity, or this process had no descriptor
+            for a connection. The attempt did not run.
         TIMEOUT: No answer arrived in time.
-        CONNECT_FAILED: No connection to the engine was established.
+        CONNECT_FAILED: No connection to the engine was established, or the engine stopped accepting attempts
+            before the attempt was written.
         RESET: The connection was lost during the attempt.
         CANCELLED: The gateway or the client cancelled the attempt.
-        NOT_STARTED: The gateway withdrew the attempt before it was started.
+        NOT_STARTED: The gateway withdrew the attempt before it was written, or the engine answered that it
+            does not know the attempt.
     """
 
     OK = "ok"
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -134,8 +134,8 @@
     """Return up to `count` engines drawn at random, weighted by capacity, that may be sent the query now.
 
     Engines are left out that are ejected, were tried before, are in back-off or have no slow-start budget
-    left. If none remains, all engines that may run the query are returned. For a load, the preferred engines
-    of its tables are returned.
+    left. If none remains, the engines that may run the query are returned: usable and untried ones, else
+    usable ones, else all. For a load, the preferred engines of its tables are returned.
     """
     query_class = query.query_class
     if query_class.is_load and (preferred := _preferred_for_load(gateway, query)):
--- a/cottonhold/scheduler/responses.py
+++ b/cottonhold/scheduler/responses.py
@@ -11,7 +11,8 @@
 
 
 def reject_or_fail(gateway: GatewayState, query: Query) -> None:
-    """Answer a query with a rejection or a failure; all final answers except results are given here.
+    """Answer a query with a rejection or a failure; the scheduler's final answers except results are given
+    here.
 
     Called by admission (rejected on arrival), placement (no utility left, or too late to finish), deadlines
     (deadline near) and attempt_outcomes (no further attempt allowed).
--- a/cottonhold/scheduler/retry_policy.py
+++ b/cottonhold/scheduler/retry_policy.py
@@ -71,7 +71,7 @@
 
 
 def count_accepted_query(gateway: GatewayState) -> None:
-    """Count an accepted query for the retry budget, if there is one.
+    """Count an arriving query for the retry budget, if there is one.
 
     Without a budget the entries would never be read, so old ones would never be dropped.
     """
--- a/cottonhold/scheduler/settings.py
+++ b/cottonhold/scheduler/settings.py
@@ -153,7 +153,7 @@
             be sent, in ms.
         retry_budget_free: Retries in the window that are allowed in addition to the share; None disables the
             retry budget.
-        retry_budget_share: Retries allowed in the window per accepted query.
+        retry_budget_share: Retries allowed in the window per query that arrived.
         retry_budget_window_ms: Time over which the retry budget counts retries and queries, in ms.
     """
 
--- a/cottonhold/store/health.py
+++ b/cottonhold/store/health.py
@@ -33,7 +33,7 @@
 
 
 class StoreError(Exception):
-    """The ledger can't be opened for writing at present, since the disk fails or is full.
+    """The ledger can't be opened for writing at present: the disk fails or is full, or the folder is in use.
 
     `records` contains the records that could be read nevertheless, by kind and key. The boot count isn't
     durable.
--- a/cottonhold/store/records.py
+++ b/cottonhold/store/records.py
@@ -17,7 +17,7 @@
 from enum import Enum, IntEnum
 
 VERSION = 1
-# Size of a load's identity. The sender draws it at random, so two incarnations never use the same one.
+# Size of a load's identity: a hash of its class, ordering key and body, the same for every retry.
 IDENTITY_BYTES = 16
 
 
@@ -66,15 +66,18 @@
     " one as an old incarnation",
     RecordKind.LOAD: "durable before the load's first byte was sent: a load recorded as sent may have run",
     RecordKind.PROMISE: "only this disk has it, and a voter that lost it would allow two different decisions",
-    RecordKind.OPERATOR_OVERRIDE: "an operator set it and expects it to apply until an operator removes it",
+    RecordKind.OPERATOR_OVERRIDE: "an operator set it and expects it to apply until it expires or an operator"
+    " removes it",
     RecordKind.AFFINITY: "durable before it was announced, so others rely on it; if the folder is incomplete,"
     " all of it is discarded",
     RecordKind.ENGINE_ADDRESS: "the address may belong to another engine now: used only after an engine has"
     " replied there, and only until a source answers",
     RecordKind.ENGINE_RATE: "an engine is cold after a power loss: an upper limit for its slow start, not the"
     " initial rate",
-    RecordKind.WARM_DATA: "the engine may have lost its data sets: only the order in which engines are asked",
-    RecordKind.MEMBER: "a member to contact first; only its own messages prove that it is alive",
+    RecordKind.WARM_DATA: "the engines may have lost their data sets: only the first division of demand uses"
+    " it",
+    RecordKind.MEMBER: "its boot count and checkpoint as last received: lower limits; only its own"
+    " messages are current",
     RecordKind.ENGINE_DRAIN: "the replacement may be finished: the engine receives no queries until the"
     " registers have been read",
 }
@@ -118,8 +121,8 @@
 
     SENT = 0  # the load may have run; its end isn't known
     COMPLETED = 1  # the engine reported success
-    FAILED = 2  # the engine reported an error
-    NEVER_SENT = 3  # no byte of the load was sent to an engine
+    FAILED = 2  # its attempt ended without success; it may have run
+    NEVER_SENT = 3  # no attempt of the load ran
 
 
 _LOAD = struct.Struct("<BBQdd")
@@ -134,7 +137,7 @@
     """A load (a query that writes).
 
     Attributes:
-        identity: The load's random identity, which is the record's key.
+        identity: The load's identity, a hash that is the same for every retry; the record's key.
         request_id: The client's request id.
         ordering_key: The load's ordering key.
         statement_digest: A digest of the statement.
