--- a/cottonhold/emulator/replacement_invariants.py
+++ b/cottonhold/emulator/replacement_invariants.py
@@ -14,7 +14,7 @@
 )
 from cottonhold.fleet.rolling_replacement.plan_codec import decode_plan, decode_record
 
-ZONE_NOTICE_MS = 500.0  # time after which every host knows of a zone's problem
+ZONE_NOTICE_MS = 500.0  # time after which every host has received the report of a zone's problem
 CHECKED_TICKS = 40  # number of recent ticks whose running voters are checked
 
 RecordListener = Callable[[str, MachineRecord], None]
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -150,7 +150,7 @@
         return self.service.ownership_of(self.clock.now(), key) is not None
 
     def is_member(self, member: int) -> bool:
-        """Return whether a member may own keys, by the membership table that this instance knows."""
+        """Return whether a member may own keys, according to this instance's membership table."""
         ownership = self.service.ownership
         return ownership is not None and member in ownership.lease.members
 
--- a/cottonhold/scheduler/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -76,7 +76,7 @@
     changed_engines: dict[str, EngineView] = field(default_factory=dict)  # changed entries not yet applied
     departing_engines: dict[str, EngineView] = field(default_factory=dict)  # removed with attempts in flight
 
-    # the capacity of the live engines, and this gateway's part of it (capacity)
+    # capacity of the live engines, and this gateway's part of that capacity
     live_engines: list[EngineView] = field(default_factory=list)
     ranked_engines: list[EngineView] = field(default_factory=list)  # in the same order at every gateway
     engines_by_hash: dict[int, list[EngineView]] = field(default_factory=dict)
