--- a/cottonhold/emulator/fault_injection/client_model.py
+++ b/cottonhold/emulator/fault_injection/client_model.py
@@ -26,7 +26,7 @@
     UNREACHED = "unreached"
 
 
-# Ends that mean that a load has not run, or may or may not have run.
+# Ends after which it is unknown whether a load ran, or known that it did not.
 WITHOUT_RESULT = (RequestEnd.BROKEN, RequestEnd.TIMED_OUT, RequestEnd.REFUSED, RequestEnd.UNREACHED)
 
 
--- a/cottonhold/emulator/fault_injection/power_loss_tally.py
+++ b/cottonhold/emulator/fault_injection/power_loss_tally.py
@@ -182,7 +182,7 @@
 
 
 def observe_power_loss(tally: LoadTally, at: float, next_at: float = math.inf) -> ObservedPowerLoss:
-    """Return the counts for a power loss at a time; `next_at` is the time of the next power loss."""
+    """Return the numbers of loads by their state at a power loss; `next_at` is the time of the next one."""
     observed = ObservedPowerLoss()
     for load in tally.loads.values():
         is_open = any(attempt.started_at <= at < attempt.ended_at for attempt in load.attempts)
@@ -233,7 +233,7 @@
     Args:
         load: The load.
         started_at: Time that is subtracted from all printed times.
-        marks: What the harness did to processes.
+        marks: Starts and kills of processes by the harness: time, action, name.
     """
     rows = [
         (a.started_at, f"sent to n{a.instance}, ref {a.request_id}, attempt {a.number}")
--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -91,7 +91,7 @@
         return cores if useful_cores is None else min(cores, useful_cores)
 
     def _used(self, server_number: int) -> int:
-        """Return the requests in flight at a server, those of others as of the last load report."""
+        """Return the requests in flight at a server; those of others are from the last load report."""
         own = self.world.servers[server_number].in_flight.get(self.number, 0)
         return own + (self.in_flight_elsewhere[server_number] if self.in_flight_elsewhere else 0)
 
--- a/cottonhold/emulator/overload.py
+++ b/cottonhold/emulator/overload.py
@@ -352,7 +352,7 @@
         return {key: served[key] / n for key, n in attempts.items() if n >= MIN_ATTEMPTS_PER_SHARE}
 
     def utility(self, begin: float, end: float) -> tuple[float, float]:
-        """Return the utility served, and the largest possible one: that of the densest first attempts."""
+        """Return the utility served, and the highest possible one: first attempts served by density."""
         entries = [(entry.class_number, entry.event) for entry in self.log if begin <= entry.at < end]
         served = sum(self.classes[c].utility for c, event in entries if event is RequestEvent.SERVED)
         remaining_ms = sum(engine.speed for engine in self.engines[: self.engines_up]) * (end - begin)
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -321,7 +321,7 @@
         self.call_at(engine.busy_until, on_served)
 
     def _check_bounds(self, now: float) -> None:
-        """Check that the bounds of all instances together do not exceed the largest share by slow start."""
+        """Check that the sum of all instances' limits is within the share that slow start permits."""
         up = [i for i in self.running if i is not None and i.fleet.slow_start is not None]
         self.slow_start_cores[int(now // STEP_MS)] = self._permitted_cores(now, up)
         for name in self.engine_names if up else ():
--- a/cottonhold/emulator/rolling_replacement_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -200,7 +200,7 @@
 
 
 def contradicting_requests(seed: int) -> CaseResult:
-    """Request contradicting replacements at the same time at two hosts."""
+    """Request conflicting replacements at two hosts at the same time."""
     world = ReplacementWorld(seed)
     world.run(2000.0 + seed % 100)
     world.request("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"))
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -132,7 +132,7 @@
             self.next_step = now
 
     def set_incarnation(self, incarnation: int) -> None:
-        """Use this incarnation in all reports; called when others have received a higher one than its own."""
+        """Use this incarnation in all reports; called when another member has received a higher one."""
         self.incarnation = incarnation & MAX_UINT32
         for part in (self.demand, self.slow_start, self.failover_cost):
             if part is not None:
--- a/cottonhold/fleet/failover_cost/cold_work.py
+++ b/cottonhold/fleet/failover_cost/cold_work.py
@@ -35,7 +35,7 @@
 
 
 def cold_share(snapshot: FleetSnapshot, home: str, zone: str, share: float, settings: CostSettings) -> float:
-    """Return the part of a home's uses that would be cold if this share of its work moved to a zone."""
+    """Return the share of cold data set accesses if a share of a home zone's work moved to another zone."""
     view, uses = snapshot.zones[zone], home_uses(snapshot, home, share)
     window = settings.window_ms / 1000
     total = snapshot.homes[home].requests_per_second * share * window
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -18,7 +18,7 @@
 from cottonhold.fleet.zone_failover.attempt_pool import lower_median
 from cottonhold.fleet.zone_failover.messages import zone_number
 
-MIN_WORK_MS = 1e-3  # least mean work of a request, so that a rate of requests is finite
+MIN_WORK_MS = 1e-3  # lower limit of the mean work of a request; keeps the computed request rate finite
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/fleet/failover_cost/hysteresis.py
+++ b/cottonhold/fleet/failover_cost/hysteresis.py
@@ -26,11 +26,11 @@
 
 @dataclass(slots=True)
 class StableShares:
-    """Shares that change only for a clear difference.
+    """Shares with hysteresis: they change only after a clear difference.
 
     Attributes:
         shares: The shares in force, by zone.
-        differs_since: Since when the wanted shares have differed by more than the band, in ms.
+        differs_since: Time since which the wanted shares have differed by more than `band`, in ms.
     """
 
     shares: dict[str, float]
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -266,7 +266,7 @@
 
 
 def _available_cores(snapshot: FleetSnapshot, remaining: Mapping[str, float]) -> float:
-    """Return the cores that work may use in what remains of all zones."""
+    """Return the cores available for work in the remaining capacity of all zones."""
     return math.fsum(
         view.cores * view.available_share * remaining.get(zone, 1.0) for zone, view in snapshot.zones.items()
     )
--- a/cottonhold/fleet/latest_reports.py
+++ b/cottonhold/fleet/latest_reports.py
@@ -78,7 +78,7 @@
         return (incarnation + 1, 1) if incarnation < MAX_UINT32 else (incarnation, version)
 
     def newer_than(self, sender: int, reports: Iterable[ReportT]) -> ReportT | None:
-        """Return the stored report of a sender that has just sent an older one of its own, else None.
+        """Return the stored report of a sender if it is newer than the one just received from it, else None.
 
         This happens if incarnations are numbered by a wall clock that was set back between two starts. When
         the stored report is sent back to the sender, the sender continues with a higher stamp.
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -54,7 +54,7 @@
 
 
 class MemoryState(IntEnum):
-    """The completeness of an instance's records of the time before its start."""
+    """How complete the records are that an instance found in its folder at its start."""
 
     EMPTY = 0  # the folder was empty, so what the instance sent before is unknown
     INTACT = 1  # the folder is complete up to the power loss
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -208,7 +208,7 @@
         return any(warming.has_answered for warming in self.warming.values())
 
     def share(self, engine: str) -> float:
-        """Return the share of its capacity that all instances together may send to an engine."""
+        """Return the share of an engine's capacity that all instances together may use."""
         warming = self.warming.get(engine)
         if warming is None:
             return UNLIMITED_SHARE
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True, frozen=True)
 class IncarnationReply:
-    """An owner's incarnation and timestamp; believed_incarnation is that of the query."""
+    """An owner's incarnation and timestamp; believed_incarnation repeats that of the IncarnationQuery."""
 
     believed_incarnation: int
     incarnation: int
--- a/cottonhold/fleet/session_affinity/ownership_records.py
+++ b/cottonhold/fleet/session_affinity/ownership_records.py
@@ -252,8 +252,8 @@
         self.move_allowances: dict[int, MoveAllowance] = {}  # by target
         self.pending_offers: dict[int, int] = {}  # by target: number of keys that are being moved
         self.withdrawn_offers: dict[tuple[bytes, int], WithdrawnOffer] = {}  # by key and offered epoch
-        # For keys moved away: the time from the stop here until the target's confirmation arrived, which is
-        # one network delay longer than the time during which no member could start requests.
+        # Histogram for keys moved away, in ms: time from the last possible start of a request here until the
+        # target's confirmation arrived. It exceeds the time without an owner by one network delay.
         self.handover_histogram = [0] * (len(HANDOVER_BUCKETS_MS) + 1)
 
     def _initialize_announcements(self) -> None:
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -219,7 +219,7 @@
         return health >= ZoneHealth.SLOW
 
     def _reduce_hold_down(self, state: ZoneState) -> None:
-        """Halve a hold-down that failed returns have doubled, once per quiet period."""
+        """Halve a hold-down time that was doubled after failed returns, once per quiet period."""
         settings, quiet_since = self.settings, max(state.since, state.hold_down_reduced_at)
         if self.now - quiet_since > settings.quiet_ms and state.hold_down_ms > settings.hold_down_ms:
             state.hold_down_ms = max(settings.hold_down_ms, state.hold_down_ms / 2)
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -33,7 +33,7 @@
 WAIT_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, MAX_WAIT_MS)  # upper bounds of buckets
 MAX_HOPS_WITHOUT_PAUSE = 3  # hops via the key's home, its owner, and one move in between
 MAX_HINTS = 20_000  # largest number of owner hints kept, and of returned rounds
-RETRY_RESERVE_MS = 100.0  # time left until the client's timeout when the request is answered with a retry delay
+RETRY_RESERVE_MS = 100.0  # time left for the client when it is asked to retry later
 ANSWER_RESERVE_MS = 50.0  # time reserved before the client's timeout for a forwarded request's answer
 
 
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -61,7 +61,7 @@
         """Return the number of keys and requests that still prevent this machine's removal."""
 
     def remaining_elsewhere(self) -> dict[str, int | None]:
-        """Return `remaining_here` of the other machines in replacement; None where this instance has no report."""
+        """Return `remaining_here` of the other machines in replacement; None without a report of one."""
 
     def move_keys(self, max_keys: int) -> None:
         """Move at most `max_keys` keys to other members."""
--- a/cottonhold/membership/duties.py
+++ b/cottonhold/membership/duties.py
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RunDuty:
-    """Run the duty on the subject now.
+    """Action: run a duty (a kind of shared task) on a subject (what it is run on, such as an engine).
 
     Attributes:
         duty: The name of the duty.
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -19,9 +19,8 @@
 # Time after the start of a drain during which queries are accepted. 4 s after the start of a drain, no open
 # request may be younger than 2 s.
 DRAIN_ACCEPT_QUERIES_MS = 1500.0
-# After SIGTERM, new connections still arrive for 0.4 s, and requests on open connections for 0.2 s more.
-# Time after SIGTERM during which queries that may still run at SIGKILL are accepted; includes a busy loop's
-# lag.
+# Time after SIGTERM during which queries are accepted that may not end before SIGKILL; includes the lag of a
+# busy event loop. New connections arrive for 0.4 s after SIGTERM, and requests on open ones for 0.2 s more.
 SHUTDOWN_ACCEPT_LONG_MS = 400.0
 SHUTDOWN_IDLE_CLOSE_MS = 600.0  # time after SIGTERM from which idle connections are closed
 SHUTDOWN_ACCEPT_CLIENTS_MS = 800.0  # shortest time after SIGTERM for which new clients are accepted
@@ -86,7 +85,7 @@
         return self.answer_deadline() - CLOSE_MARGIN_MS
 
     def accept_deadline(self) -> float:
-        """Return the time until which new clients are accepted at least."""
+        """Return the earliest time at which the listener may stop accepting new clients."""
         return min(self.shutdown_since + SHUTDOWN_ACCEPT_CLIENTS_MS, self.close_deadline())
 
     def is_ready(self) -> bool:
--- a/cottonhold/scheduler/in_flight.py
+++ b/cottonhold/scheduler/in_flight.py
@@ -66,7 +66,7 @@
         ]
 
     def threads_not_outranked(self, density: float, margin: float) -> int:
-        """Return the threads in use by the attempts that a density does not outrank."""
+        """Return the threads used by attempts that a query of this density does not outrank."""
         threads = 0
         for other, level in self.by_density.items():
             if density <= margin * other:
@@ -74,7 +74,7 @@
         return threads
 
     def not_outranked(self, density: float, margin: float) -> Occupancy:
-        """Return the threads and memory in use by the attempts that a density does not outrank."""
+        """Return the threads and memory used by attempts that a query of this density does not outrank."""
         if not self.by_density:
             return NOTHING_IN_FLIGHT
         threads, memory_mb, has_attempts = 0, 0.0, False
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -113,7 +113,7 @@
         ]
         self.tenant_traffic = [ArrivalRate(TRAFFIC_TIME_CONSTANT_MS) for _ in settings.tenants]
         self.settings = settings
-        # The longest delay of a step: a deadline must not pass between two steps.
+        # Longest time between two steps, in ms; a query is answered this long before its deadline.
         self.answer_margin_ms = HEARTBEAT_MS + 2 * settings.tick_ms
         affordable = MAX_HEALTH_CHECK_COST / max(settings.overhead_costs.per_health_check, 1e-9)
         self.health_checks_per_query = min(MAX_HEALTH_CHECKS_PER_QUERY, affordable)
