--- a/cottonhold/discovery/claim.py
+++ b/cottonhold/discovery/claim.py
@@ -1,4 +1,4 @@
-"""The state of one engine as one source describes it. Pure."""
+"""The state of one engine as one source describes it; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/discovery/consul/health_entry.py
+++ b/cottonhold/discovery/consul/health_entry.py
@@ -1,4 +1,4 @@
-"""Maps an entry of Consul's health endpoint, with its checks, to an engine's service status. Pure.
+"""Maps an entry of Consul's health endpoint, with its checks, to an engine's service status; does no I/O.
 
 | what Consul reports | status | reason |
 | --- | --- | --- |
--- a/cottonhold/discovery/consul/registration.py
+++ b/cottonhold/discovery/consul/registration.py
@@ -1,4 +1,4 @@
-"""Registers the dispatcher itself in Consul, with a TTL check that it updates while it serves. Pure.
+"""Registers the dispatcher itself in Consul, with a TTL check that it updates while it serves; does no I/O.
 
 The dispatcher sets the check's status: passing normally, and critical while its event loop lags, so that
 proxies which read Consul send it fewer requests. An agent that restarted without its data rejects the next
--- a/cottonhold/discovery/consul/watch.py
+++ b/cottonhold/discovery/consul/watch.py
@@ -1,4 +1,4 @@
-"""Watches one service's health by blocking queries: builds requests and interprets responses. Pure.
+"""Watches one service's health by blocking queries: builds requests and interprets responses; does no I/O.
 
 As Consul's documentation of blocking queries requires, the index is reset to 0 when it goes backwards, and an
 index of 0 is treated as 1. Consul may delay a response for the wait time and a sixteenth more. After any
--- a/cottonhold/discovery/damping.py
+++ b/cottonhold/discovery/damping.py
@@ -1,4 +1,4 @@
-"""Flap damping: how long an engine that left service must stay healthy before it returns. Pure.
+"""Flap damping: how long an engine that left service must stay healthy before it returns; does no I/O.
 
 A failure here is any end of service, also a deliberate one. Each adds one to a count that decays
 exponentially, and the quiet time doubles with each failure in the count. After a single failure the quiet
--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -1,4 +1,4 @@
-"""The engine list, merged from the claims of all sources. Pure.
+"""The engine list, merged from the claims of all sources; does no I/O.
 
 `EngineCatalog.step` takes the time and the sources' events, and returns what to publish, confirm and log.
 Conflicts between sources are resolved by these rules:
--- a/cottonhold/discovery/model.py
+++ b/cottonhold/discovery/model.py
@@ -1,4 +1,4 @@
-"""Types shared by all discovery sources: what they report, and what is published. Pure.
+"""Types shared by all discovery sources: what they report, and what is published; does no I/O.
 
 An *observation* is the state of one engine in one answer of one source. A *report* is one answer. A *change*
 is what the other parts of the dispatcher receive. Times are in ms on the caller's clock, except for an
--- a/cottonhold/discovery/quarantine.py
+++ b/cottonhold/discovery/quarantine.py
@@ -1,4 +1,5 @@
-"""Quarantined engines: published as draining while the fleet replaces them, whatever sources report. Pure.
+"""Quarantined engines: published as draining while the fleet replaces them, whatever sources report;
+does no I/O.
 
 The quarantine is applied to the output of `engine_catalog`, so it affects neither the sources' safeguards nor
 the ownership of addresses, and the catalog's state applies again once the quarantine ends. It can only change
--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -1,4 +1,4 @@
-"""One source's view of the engines, with the safeguards against a faulty source applied. Pure.
+"""One source's view of the engines, with the safeguards against a faulty source applied; does no I/O.
 
 Three safeguards apply to a source that is not trusted:
 
--- a/cottonhold/discovery/start_times.py
+++ b/cottonhold/discovery/start_times.py
@@ -1,4 +1,5 @@
-"""Converts engines' start times, which sources report in Unix time, to the local monotonic clock. Pure.
+"""Converts engines' start times, which sources report in Unix time, to the local monotonic clock;
+does no I/O.
 
 The local wall clock may be wrong by seconds or by an hour, and so may the clock that stamped a start. So the
 offset between the stamps and the monotonic clock is learned from the stamps themselves. No process is
--- a/cottonhold/emulator/fault_injection/checker.py
+++ b/cottonhold/emulator/fault_injection/checker.py
@@ -1,4 +1,4 @@
-"""Checks and measures a run from nothing but the logs of engines, clients and links. Pure.
+"""Checks and measures a run from nothing but the logs of engines, clients and links; does no I/O.
 
 A finding is a broken rule with its evidence.
 """
--- a/cottonhold/emulator/fault_injection/client_model.py
+++ b/cottonhold/emulator/fault_injection/client_model.py
@@ -1,4 +1,4 @@
-"""The clients of a scenario as values: request classes, client behaviour, and the load of a run. Pure.
+"""The clients of a scenario as values: request classes, client behaviour, and the load of a run; does no I/O.
 
 The scenario's JSON and the settings of the clients' process use the names given to `field`.
 """
--- a/cottonhold/emulator/fault_injection/engine_traits.py
+++ b/cottonhold/emulator/fault_injection/engine_traits.py
@@ -1,4 +1,4 @@
-"""The properties of an emulated engine, including its faults. Pure.
+"""The properties of an emulated engine, including its faults; does no I/O.
 
 Scenarios, `traits` faults and the control lines of an engine process use the names given to `field`.
 """
--- a/cottonhold/emulator/fault_injection/event_log.py
+++ b/cottonhold/emulator/fault_injection/event_log.py
@@ -1,4 +1,4 @@
-"""Reads the logs of engines, clients and links of a run into attempts, executions and sends. Pure.
+"""Reads the logs of engines, clients and links of a run into attempts, executions and sends; does no I/O.
 
 Times are in seconds of the monotonic clock, which all processes share.
 """
--- a/cottonhold/emulator/fault_injection/executions.py
+++ b/cottonhold/emulator/fault_injection/executions.py
@@ -1,4 +1,4 @@
-"""Checks rules about loads across requests and instances. Pure.
+"""Checks rules about loads across requests and instances; does no I/O.
 
 Each load runs once; loads on one key run one at a time and in order. A client that retries a load uses
 another request id and maybe another instance, so a load is identified by the key and the number in its
--- a/cottonhold/emulator/fault_injection/instance_config.py
+++ b/cottonhold/emulator/fault_injection/instance_config.py
@@ -1,4 +1,4 @@
-"""Builds the configuration file of an instance in a scenario run. Pure."""
+"""Builds the configuration file of an instance in a scenario run; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/emulator/fault_injection/power_loss_tally.py
+++ b/cottonhold/emulator/fault_injection/power_loss_tally.py
@@ -1,4 +1,4 @@
-"""Tracks each load over many power losses, from the logs of clients and engines. Pure.
+"""Tracks each load over many power losses, from the logs of clients and engines; does no I/O.
 
 A load is identified by the number in its statement, which is its client's number. Times are in seconds of the
 logs' clock.
--- a/cottonhold/emulator/fault_injection/power_losses.py
+++ b/cottonhold/emulator/fault_injection/power_losses.py
@@ -1,4 +1,4 @@
-"""Generates random power losses of one small fleet from a seed. Pure."""
+"""Generates random power losses of one small fleet from a seed; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/emulator/fault_injection/projection_check.py
+++ b/cottonhold/emulator/fault_injection/projection_check.py
@@ -1,4 +1,4 @@
-"""Compares the projected cost of a zone's outage with the observed cost. Pure.
+"""Compares the projected cost of a zone's outage with the observed cost; does no I/O.
 
 The projection is the zone's row of the failover costs, which the harness read from an instance's local socket
 in the second before the fault. It applies only if all engines of the zone fail and no others.
--- a/cottonhold/emulator/fault_injection/recovery_quality.py
+++ b/cottonhold/emulator/fault_injection/recovery_quality.py
@@ -1,4 +1,5 @@
-"""Measures the utility served in a recovery from a power loss, and differences between instances. Pure."""
+"""Measures the utility served in a recovery from a power loss, and differences between instances;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/emulator/fault_injection/remote_service_cost.py
+++ b/cottonhold/emulator/fault_injection/remote_service_cost.py
@@ -1,4 +1,4 @@
-"""Measures the cost of service in another zone: added latency, and work on cold data sets. Pure."""
+"""Measures the cost of service in another zone: added latency, and work on cold data sets; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/emulator/fault_injection/request_rules.py
+++ b/cottonhold/emulator/fault_injection/request_rules.py
@@ -1,4 +1,4 @@
-"""Checks rules about single requests and sends. Pure.
+"""Checks rules about single requests and sends; does no I/O.
 
 Each request receives one final answer in time, has one attempt open at a time, and is not sent to an engine
 that drains.
--- a/cottonhold/emulator/fault_injection/script.py
+++ b/cottonhold/emulator/fault_injection/script.py
@@ -1,4 +1,4 @@
-"""Scenarios as values: the deployment, its load, and timed faults. Pure; stored as JSON.
+"""Scenarios as values: the deployment, its load, and timed faults. Does no I/O; stored as JSON.
 
 The `target` of a fault is an instance (`n3`), a range of instances (`n0-2`), an engine (`a1`), the engines of
 a zone (`a`), the engines and instances of a zone (`zone-a`), all instances (`n*`), all engines (`e*`), or all
--- a/cottonhold/emulator/fault_injection/send_figures.py
+++ b/cottonhold/emulator/fault_injection/send_figures.py
@@ -1,4 +1,5 @@
-"""Measures the distribution of sends to zones and instances, and the time that keys had no owner. Pure."""
+"""Measures the distribution of sends to zones and instances, and the time that keys had no owner;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/emulator/fault_injection/utility_figures.py
+++ b/cottonhold/emulator/fault_injection/utility_figures.py
@@ -1,4 +1,5 @@
-"""Compares the utility served with the utility requested and the most that engines could serve. Pure."""
+"""Compares the utility served with the utility requested and the most that engines could serve;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/emulator/fault_injection/zone_distances.py
+++ b/cottonhold/emulator/fault_injection/zone_distances.py
@@ -1,4 +1,4 @@
-"""Network distances between the zones of a scenario. Pure."""
+"""Network distances between the zones of a scenario; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/consensus/acceptor.py
+++ b/cottonhold/fleet/consensus/acceptor.py
@@ -1,4 +1,4 @@
-"""A voter, which holds its promise and its accepted state for each register. Pure.
+"""A voter, which holds its promise and its accepted state for each register; does no I/O.
 
 A voter answers only once the record on which the answer depends is on disk. voter_recovery.py describes how a
 voter recovers that starts with an empty state folder.
--- a/cottonhold/fleet/consensus/messages.py
+++ b/cottonhold/fleet/consensus/messages.py
@@ -1,4 +1,4 @@
-"""Codec of the messages between proposers and voters, and of states on disk. Pure.
+"""Codec of the messages between proposers and voters, and of states on disk; does no I/O.
 
 Field sizes are in bytes; which fields a message has depends on its kind:
 
--- a/cottonhold/fleet/consensus/proposer.py
+++ b/cottonhold/fleet/consensus/proposer.py
@@ -1,4 +1,5 @@
-"""The proposer: runs the two phases of a change or read of a register, and announces chosen states. Pure."""
+"""The proposer: runs the two phases of a change or read of a register, and announces chosen states;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/consensus/register.py
+++ b/cottonhold/fleet/consensus/register.py
@@ -1,4 +1,5 @@
-"""Registers: small replicated values that are changed by compare-and-set on a majority of the voters. Pure.
+"""Registers: small replicated values that are changed by compare-and-set on a majority of the voters;
+does no I/O.
 
 The protocol is CASPaxos ("CASPaxos: Replicated State Machines without logs", Rystsov). The proposer of a
 change chooses a *ballot*, obtains promises for it from a majority together with their last accepted states,
--- a/cottonhold/fleet/consensus/register_cache.py
+++ b/cottonhold/fleet/consensus/register_cache.py
@@ -1,4 +1,5 @@
-"""A cache of registers at one instance: their values, how current these are, and pending operations. Pure.
+"""A cache of registers at one instance: their values, how current these are, and pending operations;
+does no I/O.
 
 A value is *confirmed* for a limited time after the request of the read or change that returned it. If an
 instance acts only on confirmed values, and its successor first waits for longer than this time after taking
--- a/cottonhold/fleet/consensus/voter_recovery.py
+++ b/cottonhold/fleet/consensus/voter_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a voter whose state folder is empty, until it may vote again. Pure.
+"""Recovery of a voter whose state folder is empty, until it may vote again; does no I/O.
 
 A voter that has lost its promises and accepted states must not vote. With three voters, for example, a state
 accepted by it and one other voter could be missed by the next majority. It recovers in these steps. Each
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -1,4 +1,4 @@
-"""Draining of engines that are being replaced: no new requests, and reports of open attempts. Pure.
+"""Draining of engines that are being replaced: no new requests, and reports of open attempts; does no I/O.
 
 A dispatcher's report has a row for each engine that it has drained: the serial number of the replacement
 request, the number of its attempts that are open at the engine, and whether the engine seems absent to it.
--- a/cottonhold/fleet/engine_drain_messages.py
+++ b/cottonhold/fleet/engine_drain_messages.py
@@ -1,4 +1,4 @@
-"""Codec of the reports that dispatchers send one another about engines being replaced. Pure.
+"""Codec of the reports that dispatchers send one another about engines being replaced; does no I/O.
 
 Field sizes are in bytes:
 
--- a/cottonhold/fleet/failover_cost/__init__.py
+++ b/cottonhold/fleet/failover_cost/__init__.py
@@ -1,1 +1,2 @@
-"""The cost of an outage, the zones that serve clients during it, and which engines may be removed. Pure."""
+"""The cost of an outage, the zones that serve clients during it, and which engines may be removed;
+does no I/O."""
--- a/cottonhold/fleet/failover_cost/allocation.py
+++ b/cottonhold/fleet/failover_cost/allocation.py
@@ -1,4 +1,4 @@
-"""The allocation of clients' work to zones with the highest utility, as a small linear program. Pure.
+"""The allocation of clients' work to zones with the highest utility, as a small linear program; does no I/O.
 
     x[home, zone, step]: work of clients at `home`, of a density step, that `zone` serves, in cores
     maximize   sum x * utility(step) * retained[home, zone] - sum e * congestion cost
--- a/cottonhold/fleet/failover_cost/cold_cache.py
+++ b/cottonhold/fleet/failover_cost/cold_cache.py
@@ -1,4 +1,5 @@
-"""Estimates how often requests use data that is not cached, at first and where data sets evict others. Pure.
+"""Estimates how often requests use data that is not cached, at first and where data sets evict others;
+does no I/O.
 
 An engine caches a limited number of data sets, those used last. The first use of a cold set is cold; later
 uses are cold if the set has been evicted since. An unused set is evicted after the time in which as many sets
--- a/cottonhold/fleet/failover_cost/cold_work.py
+++ b/cottonhold/fleet/failover_cost/cold_work.py
@@ -1,4 +1,4 @@
-"""Estimates how much work on cold data an allocation causes, and for how long. Pure."""
+"""Estimates how much work on cold data an allocation causes, and for how long; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/failover_cost/cost_settings.py
+++ b/cottonhold/fleet/failover_cost/cost_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the cost model of failovers. Pure."""
+"""The settings of the cost model of failovers; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/failover_cost/cross_zone_limits.py
+++ b/cottonhold/fleet/failover_cost/cross_zone_limits.py
@@ -1,4 +1,4 @@
-"""Limits on what an instance sends outside its clients' home zone while capacity is missing. Pure.
+"""Limits on what an instance sends outside its clients' home zone while capacity is missing; does no I/O.
 
 Each instance's part is proportional to the demand of its own clients. No client's demand is included by two
 instances, so two instances of one home never both use all that the plan allows that home. Work is in cores.
--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -1,4 +1,4 @@
-"""Estimates what the loss of zones would cost, from the reports of all instances, and decides by it. Pure.
+"""Estimates what the loss of zones would cost from all reports, and decides by the result; does no I/O.
 
 By default the estimator takes a snapshot of the fleet every second while capacity is missing, else every 3 s.
 Results are computed from it on request, once per snapshot (`snapshot_plan`). They decide how much of an
--- a/cottonhold/fleet/failover_cost/estimator_settings.py
+++ b/cottonhold/fleet/failover_cost/estimator_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the cost estimator. Pure."""
+"""The settings of the cost estimator; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -1,4 +1,5 @@
-"""The fleet as all reports together describe it: homes with their demand, zones with their capacity. Pure.
+"""The fleet as all reports together describe it: homes with their demand, zones with their capacity;
+does no I/O.
 
 A home is a zone in its role as the location of clients, whose work this zone or other zones may serve. All
 instances with the same reports have the same snapshot, to the bit, in whatever order the reports arrived:
--- a/cottonhold/fleet/failover_cost/hysteresis.py
+++ b/cottonhold/fleet/failover_cost/hysteresis.py
@@ -1,4 +1,4 @@
-"""Shares that change only for a clear difference, and weights that decay with time. Pure."""
+"""Shares that change only for a clear difference, and weights that decay with time; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/failover_cost/messages.py
+++ b/cottonhold/fleet/failover_cost/messages.py
@@ -1,4 +1,5 @@
-"""One instance's report on its site: its clients' demand, the distance of zones, and their warm data. Pure.
+"""One instance's report on its site: its clients' demand, the distance of zones, and their warm data;
+does no I/O.
 
     kind 49 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | home zone 2 | mean work 1 |
     excess cores 1 | steps 1 | data sets 1 | zones 1 | steps, each: step 1 | work 1 | data sets, each:
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -1,5 +1,5 @@
 """Projects the cost of zones being out now: who serves whose clients, lost utility, distance, cold work.
-Pure.
+Does no I/O.
 
 Each scenario is allocated separately: the loss of two zones is not the sum of two losses, since both could
 rely on the same third zone. Reported utility is the served utility without discounts; distance and cold work
--- a/cottonhold/fleet/failover_cost/simplex.py
+++ b/cottonhold/fleet/failover_cost/simplex.py
@@ -1,4 +1,4 @@
-"""The solver of allocation problems: column generation with a revised simplex method. Pure.
+"""The solver of allocation problems: column generation with a revised simplex method; does no I/O.
 
 The linear program that it solves is described in `allocation`.
 """
--- a/cottonhold/fleet/failover_cost/site_observations.py
+++ b/cottonhold/fleet/failover_cost/site_observations.py
@@ -1,4 +1,4 @@
-"""One instance's observations of its site: its clients' demand, and the answers of zones. Pure."""
+"""One instance's observations of its site: its clients' demand, and the answers of zones; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/failover_cost/snapshot_plan.py
+++ b/cottonhold/fleet/failover_cost/snapshot_plan.py
@@ -1,4 +1,4 @@
-"""Results that are computed from one snapshot, each on its first request only. Pure."""
+"""Results that are computed from one snapshot, each on its first request only; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/recovery/__init__.py
+++ b/cottonhold/fleet/recovery/__init__.py
@@ -1,1 +1,2 @@
-"""Recovery after a power loss: what is known from before it, and the order in which service returns. Pure."""
+"""Recovery after a power loss: what is known from before it, and the order in which service returns;
+does no I/O."""
--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -1,4 +1,4 @@
-"""Engines of the list before a power loss, used until a source of the list responds. Pure.
+"""Engines of the list before a power loss, used until a source of the list responds; does no I/O.
 
 A record is only a possibly outdated hint of where an engine is, so slow start sends nothing to the engine
 before it has answered. The first response of a source replaces all records. Engines that were draining or
--- a/cottonhold/fleet/recovery/first_checker.py
+++ b/cottonhold/fleet/recovery/first_checker.py
@@ -1,4 +1,4 @@
-"""The choice of the dispatcher that checks an engine's health before membership has settled. Pure."""
+"""The choice of the dispatcher that checks an engine's health before membership has settled; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -1,5 +1,5 @@
 """Decides whether a load that a client retries may already have run, from the records of all dispatchers.
-Pure.
+Does no I/O.
 
 A load is identified by its 16-byte `load_identity`. The life of a load at one instance:
 
--- a/cottonhold/fleet/recovery/load_history_interface.py
+++ b/cottonhold/fleet/recovery/load_history_interface.py
@@ -1,4 +1,4 @@
-"""The settings of a load history, its input from the membership survey, and its actions. Pure."""
+"""The settings of a load history, its input from the membership survey, and its actions; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/recovery/load_queries.py
+++ b/cottonhold/fleet/recovery/load_queries.py
@@ -1,4 +1,5 @@
-"""The queries about loads that one instance sends to others, and the matching of answers to them. Pure."""
+"""The queries about loads that one instance sends to others, and the matching of answers to them;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -1,4 +1,4 @@
-"""One instance's records of loads: those that it sent, and those that were queried here. Pure.
+"""One instance's records of loads: those that it sent, and those that were queried here; does no I/O.
 
 Times are ms of this instance's monotonic clock. The entry of a sent load expires one retention after the end
 of its last run, or after this start if an earlier boot sent it. A queried load expires one retention after
--- a/cottonhold/fleet/recovery/membership_survey.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -1,4 +1,4 @@
-"""Determines, from the reports of all instances, which were away after a power loss or a restart. Pure.
+"""Determines from all instances' reports which were away after a power loss or a restart; does no I/O.
 
 All instances reach the same view. Pass in the live members (`set_members`) and their reports (`on_message`),
 call `step` at `next_at` at the latest, and carry out the actions that it returns (see survey_results). Call
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -1,5 +1,5 @@
 """Messages between instances after a power loss: which instances are alive, and which loads may have run.
-Pure.
+Does no I/O.
 
     PRESENCE     kind 1 | number 2 | boot count 4 | checkpoint 8 | incarnation 4 | uptime ms 4 |
                  memory and clean 1 | peers 1 | peers, each: number 2 | boot count 4 | incarnation 4 |
--- a/cottonhold/fleet/recovery/peer_observations.py
+++ b/cottonhold/fleet/recovery/peer_observations.py
@@ -1,5 +1,5 @@
 """What one instance learns of another from its reports: incarnation, boot count, and its view of others.
-Pure.
+Does no I/O.
 
 An incarnation is identified by a number drawn at each start. Start times are on this instance's clock. They
 are computed from reported uptimes, so they are too late by the transmission time of the report at most.
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of engines after a power loss or a restart, with the same limits at all instances. Pure.
+"""Slow start of engines after a power loss or a restart, with the same limits at all instances; does no I/O.
 
 An engine that has or may have just started has a share, which is the part of its full capacity that all
 instances together may send to it. The share is 0 until the engine is listed or has answered; then it is what
--- a/cottonhold/fleet/recovery/silence_proof.py
+++ b/cottonhold/fleet/recovery/silence_proof.py
@@ -1,4 +1,4 @@
-"""The proof that a dispatcher has sent no load for a while. Pure.
+"""The proof that a dispatcher has sent no load for a while; does no I/O.
 
 An instance sends loads only while at least half of the configured instances, itself included, confirm that
 they received a report that it sent less than `lease_ms` ago by its own clock. Another instance considers it
--- a/cottonhold/fleet/recovery/slow_start_settings.py
+++ b/cottonhold/fleet/recovery/slow_start_settings.py
@@ -1,4 +1,5 @@
-"""The settings of slow start, and the number of the budget that all engines under slow start share. Pure."""
+"""The settings of slow start, and the number of the budget that all engines under slow start share;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/recovery/survey_peers.py
+++ b/cottonhold/fleet/recovery/survey_peers.py
@@ -1,4 +1,5 @@
-"""Functions on the observations of all peers: unclean starts, lost zones, and the peers in a report. Pure."""
+"""Functions on the observations of all peers: unclean starts, lost zones, and the peers in a report;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/recovery/survey_results.py
+++ b/cottonhold/fleet/recovery/survey_results.py
@@ -1,4 +1,4 @@
-"""The settings, views and actions of the membership survey. Pure."""
+"""The settings, views and actions of the membership survey; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/recovery/warming_engine.py
+++ b/cottonhold/fleet/recovery/warming_engine.py
@@ -1,4 +1,4 @@
-"""An engine under slow start: this instance's observations of it, and how its share changes. Pure."""
+"""An engine under slow start: this instance's observations of it, and how its share changes; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -1,4 +1,5 @@
-"""The wire format of observations of engines that warm up, and the pooling of these observations. Pure.
+"""The wire format of observations of engines that warm up, and the pooling of these observations;
+does no I/O.
 
     kind 16 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | engines 1 | engines, each:
     engine 4 | speed 1 | work done 1 | share 1 | age 1
--- a/cottonhold/fleet/rolling_replacement/__init__.py
+++ b/cottonhold/fleet/rolling_replacement/__init__.py
@@ -1,1 +1,2 @@
-"""Rolling replacement of machines, which all dispatchers plan, schedule and carry out together. Pure."""
+"""Rolling replacement of machines, which all dispatchers plan, schedule and carry out together;
+does no I/O."""
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -1,4 +1,4 @@
-"""Rolling replacement at one instance: drives machines' replacements and maintains the plan. Pure.
+"""Rolling replacement at one instance: drives machines' replacements and maintains the plan; does no I/O.
 
 The state of a replacement is the machine's record in its register, which is changed only by compare-and-set;
 an instance holds only what it has observed of it. Each replacement has one driver, which the record names
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -1,4 +1,4 @@
-"""Selects the instance that drives a machine's replacement, and carries out the driver's steps. Pure.
+"""Selects the instance that drives a machine's replacement, and carries out the driver's steps; does no I/O.
 
 The machine's record names the driver with an epoch. The driver changes the record by compare-and-set. Before
 other actions (moving keys, notifying operators) it must have read its own epoch from the record within
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -1,4 +1,5 @@
-"""The data of a rolling replacement: machines, requests, the plan and machine records, with checks. Pure.
+"""The data of a rolling replacement: machines, requests, the plan and machine records, with checks;
+does no I/O.
 
 The plan is stored in the register `swap`, and the record of each machine in `swap/<machine>`; plan_codec.py
 encodes them. The machines form a linked list, called the chain: the plan names the first machine and each
--- a/cottonhold/fleet/rolling_replacement/plan_codec.py
+++ b/cottonhold/fleet/rolling_replacement/plan_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the plan and of machine records in registers, of at most 120 bytes each. Pure.
+"""Codec of the plan and of machine records in registers, of at most 120 bytes each; does no I/O.
 
 Field sizes are in bytes; n is the length of a text that follows its one-byte length.
 
--- a/cottonhold/fleet/rolling_replacement/plan_submission.py
+++ b/cottonhold/fleet/rolling_replacement/plan_submission.py
@@ -1,4 +1,4 @@
-"""Submits a request to the registers: locks the plan, writes the records and opens the plan. Pure.
+"""Submits a request to the registers: locks the plan, writes the records and opens the plan; does no I/O.
 
 Each step depends only on the values of the registers, so an operation with an unknown outcome needs no
 special handling.
--- a/cottonhold/fleet/rolling_replacement/request_parsing.py
+++ b/cottonhold/fleet/rolling_replacement/request_parsing.py
@@ -1,4 +1,5 @@
-"""Parses an operator's call that requests the replacement of machines by name or engines by zone. Pure."""
+"""Parses an operator's call that requests the replacement of machines by name or engines by zone;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/rolling_replacement/schedule.py
+++ b/cottonhold/fleet/rolling_replacement/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules the replacement of machines, and explains why a machine waits. Pure.
+"""Schedules the replacement of machines, and explains why a machine waits; does no I/O.
 
 The schedule is deterministic, so all instances that read the same registers find the same one.
 
--- a/cottonhold/fleet/rolling_replacement/start_conditions.py
+++ b/cottonhold/fleet/rolling_replacement/start_conditions.py
@@ -1,4 +1,5 @@
-"""Decides whether a machine's replacement may start, by the registers and the present machines. Pure."""
+"""Decides whether a machine's replacement may start, by the registers and the present machines;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/rolling_replacement/step_decision.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -1,4 +1,4 @@
-"""Decides the next step of one machine's replacement, with one function for each step. Pure.
+"""Decides the next step of one machine's replacement, with one function for each step; does no I/O.
 
 A decision holds a new record to be set by compare-and-set, actions, and reasons to wait.
 
--- a/cottonhold/fleet/session_affinity/__init__.py
+++ b/cottonhold/fleet/session_affinity/__init__.py
@@ -1,1 +1,2 @@
-"""Session affinity: at most one dispatcher owns a key, and ownership can move between dispatchers. Pure."""
+"""Session affinity: at most one dispatcher owns a key, and ownership can move between dispatchers;
+does no I/O."""
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -1,4 +1,5 @@
-"""Announces keys to their homes, applies changes of the membership table, and sends due messages. Pure."""
+"""Announces keys to their homes, applies changes of the membership table, and sends due messages;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -1,4 +1,4 @@
-"""The members that may own keys, this member's lease, and the fencing of removed members. Pure.
+"""The members that may own keys, this member's lease, and the fencing of removed members; does no I/O.
 
 The membership table is a list of members with an epoch. It follows the table's register; each epoch is one
 change: the admission of a member, or its removal (fence).
--- a/cottonhold/fleet/session_affinity/membership_table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -1,4 +1,5 @@
-"""The membership table of session affinity: its encoding in a register, and which change it needs. Pure.
+"""The membership table of session affinity: its encoding in a register, and which change it needs;
+does no I/O.
 
 The table's register holds the epoch, the members and the last changes, each of which is one epoch. Every
 member reads it and applies the changes that it has not applied yet, in order (`MemberList.changes_since`). A
--- a/cottonhold/fleet/session_affinity/messages.py
+++ b/cottonhold/fleet/session_affinity/messages.py
@@ -1,4 +1,4 @@
-"""Codec of the session affinity messages, about the migration of keys and about membership. Pure.
+"""Codec of the session affinity messages, about the migration of keys and about membership; does no I/O.
 
 The first byte is the kind of message, field sizes are in bytes:
 
--- a/cottonhold/fleet/session_affinity/migration.py
+++ b/cottonhold/fleet/session_affinity/migration.py
@@ -1,4 +1,4 @@
-"""Migration of keys from an owner to the target of a move; ownership.py lists the steps. Pure."""
+"""Migration of keys from an owner to the target of a move; ownership.py lists the steps; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -1,4 +1,4 @@
-"""Which member owns a key, and how ownership moves from one member to another. Pure.
+"""Which member owns a key, and how ownership moves from one member to another; does no I/O.
 
 At most one member owns a key. Each key has a *home*: the member of the table that ranks first for it by
 rendezvous hashing. A key without an ownership record is owned by its home. A record (key, epoch, owner)
--- a/cottonhold/fleet/session_affinity/ownership_records.py
+++ b/cottonhold/fleet/session_affinity/ownership_records.py
@@ -1,4 +1,4 @@
-"""The ownership records of one member, with the homes and epochs of keys. Pure."""
+"""The ownership records of one member, with the homes and epochs of keys; does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/session_affinity/service.py
+++ b/cottonhold/fleet/session_affinity/service.py
@@ -1,4 +1,4 @@
-"""Session affinity at one member: combines key ownership and the membership table. Pure.
+"""Session affinity at one member: combines key ownership and the membership table; does no I/O.
 
 A member whose state folder is current starts with the keys recorded there. If the folder is not current, or
 if the table's register no longer holds changes that the member missed, all its records are removed. It then
--- a/cottonhold/membership/duties.py
+++ b/cottonhold/membership/duties.py
@@ -1,4 +1,4 @@
-"""Periodic duties divided among instances: which instance runs which duty, and when. Pure.
+"""Periodic duties divided among instances: which instance runs which duty, and when; does no I/O.
 
 A duty has a name, an interval, a set of subjects that may change, and one of two guarantees:
 
--- a/cottonhold/membership/instance.py
+++ b/cottonhold/membership/instance.py
@@ -1,4 +1,4 @@
-"""One instance's membership and duties, combined in one step function. Pure.
+"""One instance's membership and duties, combined in one step function; does no I/O.
 
 Duties are divided among the live members that SWIM reports. Lease messages and announcements of completed
 runs are sent as datagrams of the same codec.
--- a/cottonhold/membership/leases.py
+++ b/cottonhold/membership/leases.py
@@ -1,4 +1,5 @@
-"""Majority leases for duties that must not run twice; a lease ends before the grants behind it expire. Pure.
+"""Majority leases for duties that must not run twice; a lease ends before the grants behind it expire;
+does no I/O.
 
 The member chosen by rendezvous hashing requests a lease, under a new term, from all voters. A voter grants it
 unless its grant to another member is still valid. The holder needs grants of a majority of all *configured*
--- a/cottonhold/membership/member_table.py
+++ b/cottonhold/membership/member_table.py
@@ -1,4 +1,5 @@
-"""One instance's table of the other members: their statuses, suspicions and the order of probes. Pure."""
+"""One instance's table of the other members: their statuses, suspicions and the order of probes;
+does no I/O."""
 
 from __future__ import annotations
 
--- a/cottonhold/membership/rendezvous.py
+++ b/cottonhold/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing, updated incrementally: assigns each subject to a member. Pure.
+"""Weighted rendezvous hashing, updated incrementally: assigns each subject to a member; does no I/O.
 
 Each member's score for a subject is a hash of both, scaled by the member's weight; the member with the
 highest score holds the subject. A member that joins takes over only the subjects for which it has the highest
--- a/cottonhold/store/records.py
+++ b/cottonhold/store/records.py
@@ -1,4 +1,4 @@
-"""Persistent records: their formats, how far each kind is trusted after a restart, and eviction. Pure.
+"""Persistent records: their formats, how far each kind is trusted after a restart, and eviction; does no I/O.
 
 A record consists of a kind, a key and a value. A value begins with a version byte. Decoding a corrupt value,
 or one that a later version of the program wrote before a downgrade, raises RecordError; such a load is
