--- a/cottonhold/discovery/model.py
+++ b/cottonhold/discovery/model.py
@@ -1,4 +1,4 @@
-"""Types shared by all discovery sources: what they report, and what is published. Pure.
+"""Types shared by all discovery sources: what they report, and what is published; does no I/O.
 
 An *observation* is the state of one engine in one answer of one source. A *report* is one answer. A *change*
 is what the other parts of the dispatcher receive. Times are in ms on the caller's clock, except for an
@@ -72,7 +72,7 @@
     machine_types: tuple[str, ...]
 
     def zone_index(self, name: str) -> int:
-        """Return the position of a zone; 0 if the name isn't configured."""
+        """Return the position of a zone; 0, the first zone, if the name isn't configured."""
         return self.zones.index(name) if name in self.zones else 0
 
     def machine_type_index(self, name: str) -> int:
@@ -105,7 +105,7 @@
         zone: The position of the zone in the configuration.
         machine_type: The position of the machine type in the configuration.
         cell: The number of the cell.
-        size: The engine's capacity relative to others.
+        size: The number of cores that is assumed if the machine type has none; Consul's weight.
         process_id: Identifies the process; equal and not empty means that it is the same process.
         registration_index: Orders the registrations of one id or one address; 0 if unknown.
         started_at: When the process started, in ms of Unix time on a remote clock; 0 if unknown.
--- a/cottonhold/discovery/start_times.py
+++ b/cottonhold/discovery/start_times.py
@@ -1,10 +1,11 @@
-"""Converts engines' start times, which sources report in Unix time, to the local monotonic clock. Pure.
+"""Converts engines' start times, which sources report in Unix time, to the local monotonic clock;
+does no I/O.
 
 The local wall clock may be wrong by seconds or by an hour, and so may the clock that stamped a start. So the
 offset between the stamps and the monotonic clock is learned from the stamps themselves. No process is
 reported before it starts, so the latest stamp minus the time at which it was received is at most the true
 offset. A start derived from it may be too late, which limits a warm engine to the cold budget for at most
-`warm_within`; it can't be too early, which would make a cold engine look warm.
+the warm-up time; it can't be too early, which would make a cold engine look warm.
 
 The offset read from the local wall clock is used instead in three cases: it agrees with the learned offset
 within the usual delay of reports; it gives a later start (the remote clock may be ahead); or the learned
@@ -19,7 +20,7 @@
 MAX_CLOCK_STEP_MS = 3_600_000.0  # the largest expected step of a wall clock
 USUAL_DELAY_MS = 5000.0  # the usual maximum time between a start and its report
 MAX_CLOCK_ERROR_MS = 2 * MAX_CLOCK_STEP_MS  # the largest expected error of the local wall clock
-MIN_START_MS = 1.0  # earliest start returned, since 0 would mean "long ago, without a stamp"
+MIN_START_MS = 1.0  # lower limit of returned start times; 0 is reserved for engines without a start stamp
 
 
 class StartTimes:
--- a/cottonhold/emulator/replacement_invariants.py
+++ b/cottonhold/emulator/replacement_invariants.py
@@ -14,7 +14,7 @@
 )
 from cottonhold.fleet.rolling_replacement.plan_codec import decode_plan, decode_record
 
-ZONE_NOTICE_MS = 500.0  # time after which every host knows of a zone's problem
+ZONE_NOTICE_MS = 500.0  # time after which every host has received the report of a zone's problem
 CHECKED_TICKS = 40  # number of recent ticks whose running voters are checked
 
 RecordListener = Callable[[str, MachineRecord], None]
@@ -50,7 +50,7 @@
         self._newest_effects[machine] = max(newest, (epoch, host.name))
 
     def is_fenced(self, machine: str, epoch: int) -> bool:
-        """Return whether a host has acted on a machine in a newer epoch."""
+        """Return whether a host has already acted on the machine under a newer epoch than this one."""
         return epoch < self._newest_effects[machine][0]
 
     def on_register_changed(self, name: str, before: bytes, after: bytes) -> None:
--- a/cottonhold/fleet/consensus/register_cache.py
+++ b/cottonhold/fleet/consensus/register_cache.py
@@ -1,4 +1,5 @@
-"""A cache of registers at one instance: their values, how current these are, and pending operations. Pure.
+"""A cache of registers at one instance: their values, how current these are, and pending operations;
+does no I/O.
 
 A value is *confirmed* for a limited time after the request of the read or change that returned it. If an
 instance acts only on confirmed values, and its successor first waits for longer than this time after taking
@@ -59,7 +60,7 @@
         self.last_token = random_source.getrandbits(30) << 20
 
     def register(self, name: str) -> CachedRegister:
-        """Return a register, which is added if it is not cached yet."""
+        """Return the register of a name; add it to the cache if it is missing."""
         return self.registers.setdefault(name, CachedRegister())
 
     def received(self, name: str) -> CachedRegister | None:
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -1,4 +1,5 @@
-"""The fleet as all reports together describe it: homes with their demand, zones with their capacity. Pure.
+"""The fleet as all reports together describe it: homes with their demand, zones with their capacity;
+does no I/O.
 
 A home is a zone in its role as the location of clients, whose work this zone or other zones may serve. All
 instances with the same reports have the same snapshot, to the bit, in whatever order the reports arrived:
@@ -18,7 +19,7 @@
 from cottonhold.fleet.zone_failover.attempt_pool import lower_median
 from cottonhold.fleet.zone_failover.messages import zone_number
 
-MIN_WORK_MS = 1e-3  # least mean work of a request, so that a rate of requests is finite
+MIN_WORK_MS = 1e-3  # lower limit of the mean work of a request; keeps the computed request rate finite
 
 
 @dataclass(slots=True, frozen=True)
@@ -168,11 +169,12 @@
     round_trips_ms: dict[str, float],
     zone_names: Mapping[int, str],
 ) -> HomeZone:
-    """Return one home from the reports of its sites.
+    """Combine the reports of a home zone's instances into the state of that zone.
 
     Args:
-        sites: The reports.
-        rates: The capped work by density step of each site, by member.
+        sites: The reports of the instances in the zone, one for each instance.
+        rates: By member, the work that its clients request by step of utility density, limited for each
+            member.
         extrapolation_factor: Number of instances for each one that reported.
         round_trips_ms: Round trip to each zone.
         zone_names: Name of each zone, by number.
--- a/cottonhold/fleet/failover_cost/hysteresis.py
+++ b/cottonhold/fleet/failover_cost/hysteresis.py
@@ -1,4 +1,4 @@
-"""Shares that change only for a clear difference, and weights that decay with time. Pure."""
+"""Shares that change only for a clear difference, and weights that decay with time; does no I/O."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 @dataclass(slots=True)
 class StableShares:
-    """Shares that change only for a clear difference.
+    """Shares with hysteresis: they change only after a clear difference.
 
     Attributes:
         shares: The shares in force, by zone.
-        differs_since: Since when the wanted shares have differed by more than the band, in ms.
+        differs_since: Time since which the wanted shares have differed by more than `band`, in ms.
     """
 
     shares: dict[str, float]
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -1,4 +1,4 @@
-"""One instance's records of loads: those that it sent, and those that were queried here. Pure.
+"""One instance's records of loads: those that it sent, and those that were queried here; does no I/O.
 
 Times are ms of this instance's monotonic clock. The entry of a sent load expires one retention after the end
 of its last run, or after this start if an earlier boot sent it. A queried load expires one retention after
@@ -50,7 +50,7 @@
 
     NEVER_SENT      this instance must send it now (then call `on_sent`) or call `cancel`
     SUCCEEDED       it has succeeded
-    MAY_HAVE_RUN    the retry fails; the load is never sent again
+    MAY_HAVE_RUN    the retry fails, and is not sent
     NOT_KNOWN_YET   the retry is rejected; the client may retry after `retry_after_ms`
     """
 
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -1,5 +1,5 @@
 """Messages between instances after a power loss: which instances are alive, and which loads may have run.
-Pure.
+Does no I/O.
 
     PRESENCE     kind 1 | number 2 | boot count 4 | checkpoint 8 | incarnation 4 | uptime ms 4 |
                  memory and clean 1 | peers 1 | peers, each: number 2 | boot count 4 | incarnation 4 |
@@ -54,7 +54,7 @@
 
 
 class MemoryState(IntEnum):
-    """The completeness of an instance's records of the time before its start."""
+    """How complete the records are that an instance found in its folder at its start."""
 
     EMPTY = 0  # the folder was empty, so what the instance sent before is unknown
     INTACT = 1  # the folder is complete up to the power loss
@@ -65,7 +65,7 @@
     """One instance's answer to a query about a load; of several, SUCCEEDED and then MAY_HAVE_RUN decide."""
 
     NEVER_SENT = 0  # it has not sent the load, and will query the others before it does
-    ALSO_QUERIED = 1  # as NEVER_SENT, and a dispatcher other than the querying one has queried it too
+    ALSO_QUERIED = 1  # as NEVER_SENT, and another dispatcher has also asked it about the load
     NOT_KNOWN_YET = 2  # it has not yet determined whether its memory is intact
     UNKNOWN = 3  # it may have sent the load at a time of which it has no records
     SUCCEEDED = 4  # it sent the load, which succeeded
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -1,11 +1,12 @@
-"""Slow start of engines after a power loss or a restart, with the same limits at all instances. Pure.
+"""Slow start of engines after a power loss or a restart, with the same limits at all instances; does no I/O.
 
 An engine that has or may have just started has a share, which is the part of its full capacity that all
 instances together may send to it. The share is 0 until the engine is listed or has answered; then it is what
-a cold engine can process. From there it grows with the results of the engine's answers at all instances, not
-with time alone. An engine that shows its full speed is warm and becomes free, that is, it is no longer
-limited. See docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms
-as a warm engine would need.
+a cold engine can process. From there it grows with the results of the engine's answers at all instances, and
+with the engine's age while no queue builds up. An engine that shows its full speed is warm and becomes free,
+that is, it is no longer limited; every engine becomes free after `max_duration_ms`. See
+docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms as a warm
+engine would need.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 MAX_WARM_ENTRIES = 5  # maximum number of warm engines that others still limit, in a report of a large fleet
 MIN_WARMUP_LIMIT = 1e-9  # in ms per ms; not 0, because the scheduler ignores limits if none allows any work
-STEP_TOLERANCE_MS = 1.0  # time by which a timer may call `step` too early
+STEP_TOLERANCE_MS = 1.0  # largest time by which a timer may call `step` too early
 ROTATION_MULTIPLIER = 0x9E3779B1  # 2^32 / golden ratio: spreads successive versions over all engine numbers
 
 
@@ -207,7 +208,7 @@
         return any(warming.has_answered for warming in self.warming.values())
 
     def share(self, engine: str) -> float:
-        """Return the share of its capacity that all instances together may send to an engine."""
+        """Return the share of an engine's capacity that all instances together may use."""
         warming = self.warming.get(engine)
         if warming is None:
             return UNLIMITED_SHARE
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -1,4 +1,4 @@
-"""Selects the instance that drives a machine's replacement, and carries out the driver's steps. Pure.
+"""Selects the instance that drives a machine's replacement, and carries out the driver's steps; does no I/O.
 
 The machine's record names the driver with an epoch. The driver changes the record by compare-and-set. Before
 other actions (moving keys, notifying operators) it must have read its own epoch from the record within
@@ -158,7 +158,7 @@
         self.view, self.registers, self.settings = view, registers, settings
         self.start_conditions = StartConditions(settings.voters, settings.default_duration_ms, capacity_check)
         self.progress: dict[str, LocalProgress] = {}
-        self.keys_by_target: dict[str, int] = {}  # number of keys moved to each target
+        self.keys_by_target: dict[str, int] = {}  # number of keys requested to be moved, by proposed target
         self.abort_deadlines: dict[str, float] = {}  # by machine: time at which a requested abort is given up
 
     def step(self, now: float, name: str, record: MachineRecord) -> list[Action]:
--- a/cottonhold/fleet/rolling_replacement/step_decision.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -1,4 +1,4 @@
-"""Decides the next step of one machine's replacement, with one function for each step. Pure.
+"""Decides the next step of one machine's replacement, with one function for each step; does no I/O.
 
 A decision holds a new record to be set by compare-and-set, actions, and reasons to wait.
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MoveKeys:
-    """Move at most `max_keys` keys of a machine to the target, under this epoch of the replacement."""
+    """Move at most `max_keys` keys away from a machine. Session affinity chooses the targets itself."""
 
     machine: str
     target: str
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -1,4 +1,4 @@
-"""The members that may own keys, this member's lease, and the fencing of removed members. Pure.
+"""The members that may own keys, this member's lease, and the fencing of removed members; does no I/O.
 
 The membership table is a list of members with an epoch. It follows the table's register; each epoch is one
 change: the admission of a member, or its removal (fence).
@@ -94,7 +94,7 @@
         self.forgotten_epoch = 0  # highest epoch of an ownership record that was purged
         # As a voter: for each refused member, the lowest epoch of a table with which it is granted a lease.
         self.refused_epochs: dict[int, int] = {}
-        self.is_barred = not folder_is_current  # whether it grants and promises nothing until admitted
+        self.is_barred = not folder_is_current  # before its admission this member sends no grants or promises
         # A member without a usable state folder does not know whether recent fences are in force already.
         self.fences: dict[int, Fence] = {m: Fence() for m in fenced if m != member and m not in self.members}
         self.fenced_at: dict[int, float] = dict.fromkeys(self.fences, now)
@@ -136,7 +136,8 @@
         if epoch <= self.epoch:
             return False
         if epoch != self.epoch + 1:
-            # In a missed epoch, one of this home's keys may have had another home.
+            # In the missed epochs another member may have been the home of this member's keys, so the
+            # recorded owners may be incomplete.
             self.complete_epoch = NEVER_COMPLETE
         self.epoch = epoch
         self.record_version += 1
--- a/cottonhold/fleet/session_affinity/ownership_records.py
+++ b/cottonhold/fleet/session_affinity/ownership_records.py
@@ -1,4 +1,4 @@
-"""The ownership records of one member, with the homes and epochs of keys. Pure."""
+"""The ownership records of one member, with the homes and epochs of keys; does no I/O."""
 
 from __future__ import annotations
 
@@ -37,9 +37,10 @@
         retry_interval_ms: Interval at which unanswered messages are sent again, in ms.
         max_moves_per_second: Maximum rate of offers to one target, in keys per second.
         max_pending_offers: Maximum number of keys that are being moved to one target.
-        fence_delay_ms: Time after an offer until no further request for the key starts, in ms.
+        fence_delay_ms: Time after an accepted offer until no further request for the key starts, in ms.
         retry_after_ms: Time after which a request whose key has no owner now is retried, in ms.
-        uncertainty_ms: Time after a fence during which the fenced member's requests may still run, in ms.
+        uncertainty_ms: Time after a fence or a move during which requests of the former owner may still run,
+            in ms.
         max_records: Expected maximum number of keys of an owner; offers are declined at twice this number.
         max_overload_factor: Maximum ratio of the keys moved to a target to its proportional share.
         lease: Times of the leases of members.
@@ -69,7 +70,8 @@
 class OwnedHere:
     """Requests for the key may start here until `valid_until` (local clock), under this epoch.
 
-    If may_have_run is set, a request of an earlier owner may have run with an outcome that is not known here.
+    may_have_run: a request of an earlier owner may have run, and its outcome is not known here. Repeated
+    execution is prevented by the load history, which does not depend on this flag.
     """
 
     epoch: int
@@ -250,8 +252,8 @@
         self.move_allowances: dict[int, MoveAllowance] = {}  # by target
         self.pending_offers: dict[int, int] = {}  # by target: number of keys that are being moved
         self.withdrawn_offers: dict[tuple[bytes, int], WithdrawnOffer] = {}  # by key and offered epoch
-        # For keys moved away: the time from the stop here until the target's confirmation arrived, which is
-        # one network delay longer than the time during which no member could start requests.
+        # Histogram for keys moved away, in ms: time from the last possible start of a request here until the
+        # target's confirmation arrived. It exceeds the time without an owner by one network delay.
         self.handover_histogram = [0] * (len(HANDOVER_BUCKETS_MS) + 1)
 
     def _initialize_announcements(self) -> None:
--- a/cottonhold/membership/duties.py
+++ b/cottonhold/membership/duties.py
@@ -1,4 +1,4 @@
-"""Periodic duties divided among instances: which instance runs which duty, and when. Pure.
+"""Periodic duties divided among instances: which instance runs which duty, and when; does no I/O.
 
 A duty has a name, an interval, a set of subjects that may change, and one of two guarantees:
 
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RunDuty:
-    """Run the duty on the subject now.
+    """Action: run a duty (a kind of shared task) on a subject (what it is run on, such as an engine).
 
     Attributes:
         duty: The name of the duty.
--- a/cottonhold/membership/rendezvous.py
+++ b/cottonhold/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing, updated incrementally: assigns each subject to a member. Pure.
+"""Weighted rendezvous hashing, updated incrementally: assigns each subject to a member; does no I/O.
 
 Each member's score for a subject is a hash of both, scaled by the member's weight; the member with the
 highest score holds the subject. A member that joins takes over only the subjects for which it has the highest
@@ -44,7 +44,7 @@
         return frozenset(self.subjects_by_member.get(member, ()))
 
     def add_member(self, member: int, weight: float = 1.0) -> set[str]:
-        """Add a member, or change its weight; return the subjects whose holder changed."""
+        """Add a member, or change its weight; return the subjects that another member holds now."""
         if self.members.get(member) == weight:
             return set()
         released = self.remove_member(member)
